--- a/include/egrettide/core/commitgate.h
+++ b/include/egrettide/core/commitgate.h
@@ -102,7 +102,7 @@
     };
 
     std::size_t majority() const;
-    void learn(const MemberStatus &status, TimePoint sentAt);
+    void recordEvidence(const MemberStatus &status, TimePoint sentAt);
     std::vector<CommitResolution> resolve();
     bool lost(Term term) const;
     Position heldByMajority(Term term) const;
--- a/include/egrettide/core/failuredetector.h
+++ b/include/egrettide/core/failuredetector.h
@@ -65,7 +65,7 @@
     // True after the first refusal: worth a closer look.
     bool refusing() const;
     // True while a probe is unanswered.
-    bool awaits() const;
+    bool awaitsAnswer() const;
     // The silence that raises a suspicion now, and the age at which a single
     // unanswered probe is given up.
     milliseconds timeout() const;
--- a/include/egrettide/core/freshnessgate.h
+++ b/include/egrettide/core/freshnessgate.h
@@ -148,27 +148,27 @@
 
 private:
     // One decision's inputs, so that its steps need no long argument lists.
-    struct Case {
+    struct DecisionInputs {
         const FreshnessRequest &request;
         const GroupSnapshot &snapshot;
         const MemberView &member;
         TimePoint now;
     };
 
-    GateDecision decideByMark(const Case &about) const;
-    static std::optional<LogMark> markOfAge(const Case &about, TimePoint oldest);
-    static std::optional<LogMark> markOfFloor(const Case &about);
-    bool follows(const Case &about) const;
-    bool floorHolds(LogMark floor, const Case &about) const;
-    bool shows(LogMark mark, const Case &about) const;
-    bool confirmedSince(TimePoint since, const Case &about) const;
-    std::optional<FreshnessReason> firstObstacle(const Case &about) const;
-    std::optional<FreshnessReason> floorObstacle(const Case &about) const;
-    std::optional<FreshnessReason> ageObstacle(const Case &about) const;
-    std::optional<FreshnessReason> latestObstacle(const Case &about) const;
-    GateDecision awaitFirstWord(const Case &about) const;
-    GateDecision waitOrLeave(const Case &about, FreshnessReason reason) const;
-    TimePoint predictedReady(const Case &about, FreshnessReason reason) const;
+    GateDecision decideByMark(const DecisionInputs &inputs) const;
+    static std::optional<LogMark> markOfAge(const DecisionInputs &inputs, TimePoint oldest);
+    static std::optional<LogMark> markOfFloor(const DecisionInputs &inputs);
+    bool follows(const DecisionInputs &inputs) const;
+    bool floorHolds(LogMark floor, const DecisionInputs &inputs) const;
+    bool shows(LogMark mark, const DecisionInputs &inputs) const;
+    bool confirmedSince(TimePoint since, const DecisionInputs &inputs) const;
+    std::optional<FreshnessReason> firstObstacle(const DecisionInputs &inputs) const;
+    std::optional<FreshnessReason> floorObstacle(const DecisionInputs &inputs) const;
+    std::optional<FreshnessReason> ageObstacle(const DecisionInputs &inputs) const;
+    std::optional<FreshnessReason> latestObstacle(const DecisionInputs &inputs) const;
+    GateDecision awaitFirstStatus(const DecisionInputs &inputs) const;
+    GateDecision waitOrRedirect(const DecisionInputs &inputs, FreshnessReason reason) const;
+    TimePoint predictedReady(const DecisionInputs &inputs, FreshnessReason reason) const;
 
     GateOptions m_options;
 };
--- a/include/egrettide/core/groupmonitor.h
+++ b/include/egrettide/core/groupmonitor.h
@@ -49,7 +49,7 @@
     milliseconds idleInterval{50};
     // The spacing for a while after the primary changed or was lost.
     milliseconds hurryInterval{10};
-    milliseconds hurrySpan{2000};
+    milliseconds urgentSpan{2000};
     // Probes outstanding at one member; beyond that it is left out of rounds, so
     // a silent member costs a bounded number of requests and delays nobody.
     std::size_t outstandingLimit = 4;
@@ -69,7 +69,7 @@
     // a second of a small deployment at rest, three databases of three, 5 remain.
     bool asksOnlySilent = false;
     // The spacing of rounds that look for a primary, whoever waits for one, while
-    // asksOnlySilent: for hurrySpan after the primary was lost, the idle interval later.
+    // asksOnlySilent: for urgentSpan after the primary was lost, the idle interval later.
     //
     // What goes wrong without it: a zone is cut off, and its observers ask the one member
     // that they reach every 20 ms whether it has become the primary: half of all status
@@ -207,7 +207,7 @@
         TimePoint observedAt;
         // When the newest thing that it answered was sent to it; for the primary, the
         // newest proof that it leads.
-        TimePoint heardAt;
+        TimePoint lastAnswerSentAt;
         // When a probe last left for it.
         TimePoint probedAt;
         double replayRate = 0; // entries a second
@@ -244,16 +244,16 @@
     void expire(Member &member, TimePoint now);
     void observe(Member &member, RoundId id, const MemberStatus &status, TimePoint sentAt);
     void smoothReplayRate(Member &member, const MemberStatus &status, TimePoint sentAt) const;
-    void learnTerm(const MemberStatus &status, RoundId id, TimePoint now);
-    void adopt(Term term, const std::string &primary, TimePoint now);
-    void withdraw(TimePoint now);
+    void updateTerm(const MemberStatus &status, RoundId id, TimePoint now);
+    void adoptPrimary(Term term, const std::string &primary, TimePoint now);
+    void withdrawPrimary(TimePoint now);
     bool majorityPromisedAbove(Term term) const;
     bool split() const;
     void watchSplit(TimePoint now);
     void tryProof(RoundId id, Round &round, TimePoint now);
     void addWatermark(const Watermark &watermark);
     void thinWatermarks();
-    void changed();
+    void invalidateSnapshot();
 
     std::string m_database;
     std::set<std::string> m_homes;
@@ -274,7 +274,7 @@
     std::optional<TimePoint> m_noPrimarySince;
     std::optional<TimePoint> m_troubleAt;
     // Rounds follow closely until then, or until a primary is confirmed.
-    TimePoint m_hurryUntil;
+    TimePoint m_urgentUntil;
     // When the primary last changed or was lost, or members came or went.
     TimePoint m_changedAt;
     // Set while the members' promises are split.
--- a/include/egrettide/core/promoter.h
+++ b/include/egrettide/core/promoter.h
@@ -309,7 +309,7 @@
 
     std::size_t majority() const;
     void noteSuspicion(const Suspicion &suspicion, TimePoint now);
-    bool agreed(TimePoint now) const;
+    bool majorityAgrees(TimePoint now) const;
     bool isMember(const std::string &upstream) const;
     bool isLeaving(const std::string &upstream) const;
     bool current(AttemptId attempt, Phase phase) const;
@@ -317,18 +317,18 @@
     void beginAttempt(Term highestPromised, TimePoint now);
     void newToken(TimePoint now);
     void endAttempt();
-    PromoterActions enterStore(TimePoint now);
-    PromoterActions judgeRecord(const VersionedRecord &current, TimePoint now);
+    PromoterActions startClaim(TimePoint now);
+    PromoterActions evaluateRecord(const VersionedRecord &current, TimePoint now);
     bool foreignClaimStands(const VersionedRecord &current, TimePoint now);
     PromoterActions withoutClaim(TimePoint now);
     PromoterActions claim(std::uint64_t expectedVersion);
     PromoterActions beginFence(TimePoint now);
     PromoterActions sendFences() const;
-    PromoterActions judgePromises(TimePoint now);
+    PromoterActions evaluatePromises(TimePoint now);
     bool outbid() const;
     bool settled(TimePoint now) const;
-    const MemberStatus *choose() const;
-    bool better(const MemberStatus &candidate, const MemberStatus &best) const;
+    const MemberStatus *chooseCandidate() const;
+    bool isBetterCandidate(const MemberStatus &candidate, const MemberStatus &best) const;
     PromoterActions sendPromote(TimePoint now);
     PromoterActions candidateLost(TimePoint now);
     PromoterActions succeed(TimePoint now);
--- a/src/core/group/commitgate.cpp
+++ b/src/core/group/commitgate.cpp
@@ -48,7 +48,7 @@
 std::vector<CommitResolution> CommitGate::add(CommitId id, Term sentUnder, const MemberStatus &after, TimePoint deadline,
                                               TimePoint now)
 {
-    learn(after, now);
+    recordEvidence(after, now);
     const bool stillLeads = after.role == UpstreamRole::Primary && after.promisedTerm == sentUnder
         && after.followingTerm == sentUnder && after.received.term == sentUnder;
     if (!stillLeads && !m_faults.ignorePromises) {
@@ -60,7 +60,7 @@
 
 std::vector<CommitResolution> CommitGate::onMemberStatus(const MemberStatus &status, TimePoint sentAt)
 {
-    learn(status, sentAt);
+    recordEvidence(status, sentAt);
     return resolve();
 }
 
@@ -112,7 +112,7 @@
 // A status proves what its member held while it still stood by the term: a member
 // that has promised more may hold the entry, but a promoter may have read its mark
 // before the entry came, so it counts no more.
-void CommitGate::learn(const MemberStatus &status, TimePoint sentAt)
+void CommitGate::recordEvidence(const MemberStatus &status, TimePoint sentAt)
 {
     const auto member = std::ranges::find(m_members, status.upstream, &Member::upstream);
     if (member == m_members.end()) {
--- a/src/core/group/failuredetector.cpp
+++ b/src/core/group/failuredetector.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-bool FailureDetector::awaits() const
+bool FailureDetector::awaitsAnswer() const
 {
     return !m_unanswered.empty();
 }
--- a/src/core/group/freshnessgate.cpp
+++ b/src/core/group/freshnessgate.cpp
@@ -71,38 +71,38 @@
     if (member == nullptr) {
         return GoElsewhere{FreshnessReason::Unreachable};
     }
-    const Case about{request, snapshot, *member, now};
+    const DecisionInputs inputs{request, snapshot, *member, now};
     if (m_options.upstreamChecksMarks) {
-        return decideByMark(about);
+        return decideByMark(inputs);
     }
-    if (const auto reason = firstObstacle(about)) {
-        return waitOrLeave(about, *reason);
+    if (const auto reason = firstObstacle(inputs)) {
+        return waitOrRedirect(inputs, *reason);
     }
     return Serve{member->replayed, std::nullopt};
 }
 
 // A watermark that was taken since the accepted age covers all that the read has to
 // see, so an upstream whose log holds it is fresh enough, whatever it follows.
-GateDecision FreshnessGate::decideByMark(const Case &about) const
+GateDecision FreshnessGate::decideByMark(const DecisionInputs &inputs) const
 {
-    const Freshness &wanted = about.request.freshness;
-    if (!about.member.reachable) {
-        return waitOrLeave(about, FreshnessReason::Unreachable);
+    const Freshness &wanted = inputs.request.freshness;
+    if (!inputs.member.reachable) {
+        return waitOrRedirect(inputs, FreshnessReason::Unreachable);
     }
-    Serve serve{about.member.replayed, std::nullopt};
+    Serve serve{inputs.member.replayed, std::nullopt};
     if (wanted.floor) {
-        serve.requiredMark = markOfFloor(about);
+        serve.requiredMark = markOfFloor(inputs);
         if (!serve.requiredMark) {
-            return waitOrLeave(about, FreshnessReason::Unconfirmed);
+            return waitOrRedirect(inputs, FreshnessReason::Unconfirmed);
         }
     }
     if (wanted.maxAge || wanted.latest) {
         // Later, not at the same moment; see confirmedSince.
         const TimePoint oldest =
-            wanted.latest ? about.request.receivedAt + Clock::duration{1} : about.now + m_options.sendMargin - *wanted.maxAge;
-        const auto mark = markOfAge(about, oldest);
+            wanted.latest ? inputs.request.receivedAt + Clock::duration{1} : inputs.now + m_options.sendMargin - *wanted.maxAge;
+        const auto mark = markOfAge(inputs, oldest);
         if (!mark) {
-            return waitOrLeave(about, wanted.latest ? FreshnessReason::Latest : FreshnessReason::Age);
+            return waitOrRedirect(inputs, wanted.latest ? FreshnessReason::Latest : FreshnessReason::Age);
         }
         serve.requiredMark = std::max(serve.requiredMark.value_or(*mark), *mark);
     }
@@ -110,9 +110,9 @@
 }
 
 // The lowest mark that is recent enough: most replicas hold it.
-std::optional<LogMark> FreshnessGate::markOfAge(const Case &about, TimePoint oldest)
+std::optional<LogMark> FreshnessGate::markOfAge(const DecisionInputs &inputs, TimePoint oldest)
 {
-    for (const Watermark &watermark : about.snapshot.watermarks) {
+    for (const Watermark &watermark : inputs.snapshot.watermarks) {
         if (watermark.sentAt >= oldest) {
             return watermark.mark;
         }
@@ -124,76 +124,76 @@
 // given that entry up, no log will ever hold it, and every read of the session is
 // refused. Any mark taken under the present term covers all of an earlier term that
 // is still there.
-std::optional<LogMark> FreshnessGate::markOfFloor(const Case &about)
+std::optional<LogMark> FreshnessGate::markOfFloor(const DecisionInputs &inputs)
 {
-    const LogMark floor = *about.request.freshness.floor;
-    if (floor.term >= about.snapshot.term) {
+    const LogMark floor = *inputs.request.freshness.floor;
+    if (floor.term >= inputs.snapshot.term) {
         return floor;
     }
-    if (about.snapshot.watermarks.empty()) {
+    if (inputs.snapshot.watermarks.empty()) {
         return std::nullopt;
     }
-    return about.snapshot.watermarks.back().mark;
+    return inputs.snapshot.watermarks.back().mark;
 }
 
 std::optional<FreshnessReason> FreshnessGate::obstacle(const FreshnessRequest &request, const GroupSnapshot &snapshot,
                                                        const MemberView &member, TimePoint now) const
 {
-    return firstObstacle(Case{request, snapshot, member, now});
+    return firstObstacle(DecisionInputs{request, snapshot, member, now});
 }
 
-std::optional<FreshnessReason> FreshnessGate::firstObstacle(const Case &about) const
+std::optional<FreshnessReason> FreshnessGate::firstObstacle(const DecisionInputs &inputs) const
 {
-    if (!about.member.reachable) {
+    if (!inputs.member.reachable) {
         return FreshnessReason::Unreachable;
     }
-    if (m_options.checks.following && !follows(about)) {
+    if (m_options.checks.following && !follows(inputs)) {
         return FreshnessReason::NotFollowing;
     }
-    if (const auto reason = floorObstacle(about)) {
+    if (const auto reason = floorObstacle(inputs)) {
         return reason;
     }
-    if (const auto reason = latestObstacle(about)) {
+    if (const auto reason = latestObstacle(inputs)) {
         return reason;
     }
-    return ageObstacle(about);
+    return ageObstacle(inputs);
 }
 
 // What goes wrong otherwise: an upstream that still follows a replaced primary, or
 // has not been told whom to follow, may show entries that the group gave up. Its
 // reader would see a booking appear and vanish.
-bool FreshnessGate::follows(const Case &about) const
+bool FreshnessGate::follows(const DecisionInputs &inputs) const
 {
-    return about.snapshot.term != 0 && about.member.followingTerm == about.snapshot.term;
+    return inputs.snapshot.term != 0 && inputs.member.followingTerm == inputs.snapshot.term;
 }
 
-bool FreshnessGate::shows(LogMark mark, const Case &about) const
+bool FreshnessGate::shows(LogMark mark, const DecisionInputs &inputs) const
 {
-    return about.member.replayed >= mark || (isPrimary(about.snapshot, about.member) && mark.term <= about.snapshot.term);
+    return inputs.member.replayed >= mark || (isPrimary(inputs.snapshot, inputs.member) && mark.term <= inputs.snapshot.term);
 }
 
 // The primary of a term holds every acknowledged entry up to that term, so a probe
 // that is older than the session's last write need not hold up the read behind it.
-bool FreshnessGate::floorHolds(LogMark floor, const Case &about) const
+bool FreshnessGate::floorHolds(LogMark floor, const DecisionInputs &inputs) const
 {
     if (!m_options.checks.floorTerm) {
-        return about.member.replayed.position >= floor.position;
+        return inputs.member.replayed.position >= floor.position;
     }
-    return shows(floor, about);
+    return shows(floor, inputs);
 }
 
 // A floor above a mark confirmed after the floor was fixed names entries that the
 // group does not have: forged, or from before a restored backup. An honest floor
 // never exceeds such a mark, so the confirmed mark is as good, and a bogus floor
 // cannot make a read wait for ever.
-std::optional<FreshnessReason> FreshnessGate::floorObstacle(const Case &about) const
+std::optional<FreshnessReason> FreshnessGate::floorObstacle(const DecisionInputs &inputs) const
 {
-    const auto &floor = about.request.freshness.floor;
-    if (!m_options.checks.floor || !floor || floorHolds(*floor, about)) {
+    const auto &floor = inputs.request.freshness.floor;
+    if (!m_options.checks.floor || !floor || floorHolds(*floor, inputs)) {
         return std::nullopt;
     }
-    const auto &since = about.request.floorSince;
-    if (since && confirmedSince(*since, about)) {
+    const auto &since = inputs.request.floorSince;
+    if (since && confirmedSince(*since, inputs)) {
         return std::nullopt;
     }
     return FreshnessReason::Floor;
@@ -201,52 +201,52 @@
 
 // Later, not at the same moment: a round and a receipt that read the clock alike may
 // have come in either order, and a write acknowledged between them would be missed.
-bool FreshnessGate::confirmedSince(TimePoint since, const Case &about) const
+bool FreshnessGate::confirmedSince(TimePoint since, const DecisionInputs &inputs) const
 {
-    if (!m_options.checks.confirmation && isPrimary(about.snapshot, about.member)) {
+    if (!m_options.checks.confirmation && isPrimary(inputs.snapshot, inputs.member)) {
         return true;
     }
-    const auto &watermarks = about.snapshot.watermarks;
-    return std::any_of(watermarks.rbegin(), watermarks.rend(), [this, since, &about](const Watermark &watermark) {
-        return watermark.sentAt > since && shows(watermark.mark, about);
+    const auto &watermarks = inputs.snapshot.watermarks;
+    return std::any_of(watermarks.rbegin(), watermarks.rend(), [this, since, &inputs](const Watermark &watermark) {
+        return watermark.sentAt > since && shows(watermark.mark, inputs);
     });
 }
 
-std::optional<FreshnessReason> FreshnessGate::latestObstacle(const Case &about) const
+std::optional<FreshnessReason> FreshnessGate::latestObstacle(const DecisionInputs &inputs) const
 {
-    if (!m_options.checks.latest || !about.request.freshness.latest || confirmedSince(about.request.receivedAt, about)) {
+    if (!m_options.checks.latest || !inputs.request.freshness.latest || confirmedSince(inputs.request.receivedAt, inputs)) {
         return std::nullopt;
     }
-    return about.snapshot.primaryConfirmed ? FreshnessReason::Latest : FreshnessReason::Unconfirmed;
+    return inputs.snapshot.primaryConfirmed ? FreshnessReason::Latest : FreshnessReason::Unconfirmed;
 }
 
-std::optional<FreshnessReason> FreshnessGate::ageObstacle(const Case &about) const
+std::optional<FreshnessReason> FreshnessGate::ageObstacle(const DecisionInputs &inputs) const
 {
-    const auto &maxAge = about.request.freshness.maxAge;
+    const auto &maxAge = inputs.request.freshness.maxAge;
     if (!maxAge) {
         return std::nullopt;
     }
-    const TimePoint oldest = about.now + m_options.sendMargin - *maxAge;
-    const auto &watermarks = about.snapshot.watermarks;
-    const bool fresh = std::any_of(watermarks.rbegin(), watermarks.rend(), [this, oldest, &about](const Watermark &watermark) {
-        return watermark.sentAt >= oldest && shows(watermark.mark, about);
+    const TimePoint oldest = inputs.now + m_options.sendMargin - *maxAge;
+    const auto &watermarks = inputs.snapshot.watermarks;
+    const bool fresh = std::any_of(watermarks.rbegin(), watermarks.rend(), [this, oldest, &inputs](const Watermark &watermark) {
+        return watermark.sentAt >= oldest && shows(watermark.mark, inputs);
     });
-    if (fresh || (!m_options.checks.confirmation && isPrimary(about.snapshot, about.member))) {
+    if (fresh || (!m_options.checks.confirmation && isPrimary(inputs.snapshot, inputs.member))) {
         return std::nullopt;
     }
-    return about.snapshot.primaryConfirmed ? FreshnessReason::Age : FreshnessReason::Unconfirmed;
+    return inputs.snapshot.primaryConfirmed ? FreshnessReason::Age : FreshnessReason::Unconfirmed;
 }
 
 std::optional<milliseconds> FreshnessGate::provenAge(const GroupSnapshot &snapshot, const MemberView &member, TimePoint now) const
 {
     const FreshnessRequest none{};
-    const Case about{none, snapshot, member, now};
-    if (!follows(about)) {
+    const DecisionInputs inputs{none, snapshot, member, now};
+    if (!follows(inputs)) {
         return std::nullopt;
     }
     const auto &watermarks = snapshot.watermarks;
     const auto newest = std::find_if(watermarks.rbegin(), watermarks.rend(),
-                                     [this, &about](const Watermark &watermark) { return shows(watermark.mark, about); });
+                                     [this, &inputs](const Watermark &watermark) { return shows(watermark.mark, inputs); });
     if (newest == watermarks.rend()) {
         return std::nullopt;
     }
@@ -257,49 +257,50 @@
 // just been taken, by a host that has just started, or since the upstream itself has, and
 // its first look at the group is under way. A read that comes meanwhile is refused as if the
 // upstream could not be reached, by one home after the other.
-GateDecision FreshnessGate::awaitFirstWord(const Case &about) const
+GateDecision FreshnessGate::awaitFirstStatus(const DecisionInputs &inputs) const
 {
-    const TimePoint budget = std::min(about.request.deadline, about.request.replicaWaitUntil);
-    const bool waits = !about.member.judged && about.now < budget && m_options.waitPolicy != WaitPolicy::Never;
+    const TimePoint budget = std::min(inputs.request.deadline, inputs.request.replicaWaitUntil);
+    const bool waits = !inputs.member.judged && inputs.now < budget && m_options.waitPolicy != WaitPolicy::Never;
     return waits ? GateDecision(WaitUntil{budget, FreshnessReason::Unreachable}) : GoElsewhere{FreshnessReason::Unreachable};
 }
 
-GateDecision FreshnessGate::waitOrLeave(const Case &about, FreshnessReason reason) const
+GateDecision FreshnessGate::waitOrRedirect(const DecisionInputs &inputs, FreshnessReason reason) const
 {
     if (reason == FreshnessReason::Unreachable) {
-        return awaitFirstWord(about);
+        return awaitFirstStatus(inputs);
     }
     if (reason == FreshnessReason::NotFollowing) {
         return GoElsewhere{reason};
     }
-    const bool primary = isPrimary(about.snapshot, about.member);
-    const TimePoint budget = primary ? about.request.deadline : std::min(about.request.deadline, about.request.replicaWaitUntil);
-    const TimePoint ready = predictedReady(about, reason);
+    const bool primary = isPrimary(inputs.snapshot, inputs.member);
+    const TimePoint budget =
+        primary ? inputs.request.deadline : std::min(inputs.request.deadline, inputs.request.replicaWaitUntil);
+    const TimePoint ready = predictedReady(inputs, reason);
     const bool waits = primary || m_options.waitPolicy == WaitPolicy::WholeBudget
         || (m_options.waitPolicy == WaitPolicy::Predict && reason != FreshnessReason::Unconfirmed && ready <= budget);
-    if (!waits || about.now >= budget) {
+    if (!waits || inputs.now >= budget) {
         return GoElsewhere{reason};
     }
-    const TimePoint soon = std::min(ready, about.now + m_options.recheck);
-    return WaitUntil{std::min(budget, std::max(soon, about.now + milliseconds{1})), reason};
+    const TimePoint soon = std::min(ready, inputs.now + m_options.recheck);
+    return WaitUntil{std::min(budget, std::max(soon, inputs.now + milliseconds{1})), reason};
 }
 
 // The moment at which the observer will probably know that the member has caught
 // up. An unknown replay rate counts as fast: the budget bounds the mistake.
-TimePoint FreshnessGate::predictedReady(const Case &about, FreshnessReason reason) const
+TimePoint FreshnessGate::predictedReady(const DecisionInputs &inputs, FreshnessReason reason) const
 {
     using Seconds = std::chrono::duration<double>;
-    const TimePoint nextKnown = about.now + m_options.nextSnapshot;
-    const Position wanted = wantedMark(about.request, about.snapshot, reason).position;
-    const Position replayed = about.member.replayed.position;
-    const double rate = about.member.replayRate;
+    const TimePoint nextKnown = inputs.now + m_options.nextSnapshot;
+    const Position wanted = wantedMark(inputs.request, inputs.snapshot, reason).position;
+    const Position replayed = inputs.member.replayed.position;
+    const double rate = inputs.member.replayRate;
     if (wanted <= replayed || rate <= 0) {
         return nextKnown;
     }
     const Seconds needed(static_cast<double>(wanted - replayed) / rate);
     // A bogus floor may be further away than any clock counts.
     const Seconds bounded = std::min(needed, Seconds(std::chrono::hours(1)));
-    const TimePoint caughtUp = about.member.observedAt + std::chrono::duration_cast<Clock::duration>(bounded);
+    const TimePoint caughtUp = inputs.member.observedAt + std::chrono::duration_cast<Clock::duration>(bounded);
     return std::max(nextKnown, caughtUp);
 }
 
--- a/src/core/group/groupmonitor.cpp
+++ b/src/core/group/groupmonitor.cpp
@@ -60,7 +60,7 @@
         m_primary.clear();
         m_noPrimarySince = m_lastRoundAt;
     }
-    changed();
+    invalidateSnapshot();
 }
 
 void GroupMonitor::setHomes(std::set<std::string> homes)
@@ -110,14 +110,14 @@
         answering->detector.onAnswer(found->second.sentAt, now);
         observe(*answering, id, status, found->second.sentAt);
     }
-    learnTerm(status, id, now);
+    updateTerm(status, id, now);
     if (open) {
         tryProof(id, found->second, now);
     }
     if (endProbe(*answering, id)) {
         finishProbe(id);
     }
-    changed();
+    invalidateSnapshot();
 }
 
 void GroupMonitor::onProbeFailed(RoundId id, const std::string &upstream, ProbeFailure failure, TimePoint now)
@@ -131,7 +131,7 @@
     failing->judged = failing->judged || failure == ProbeFailure::Refused || failure == ProbeFailure::Reset;
     failing->reachable = failing->reachable && !failing->detector.suspects(now);
     finishProbe(id);
-    changed();
+    invalidateSnapshot();
 }
 
 void GroupMonitor::onAnnounced(Term term, const std::string &primary, TimePoint now)
@@ -139,8 +139,8 @@
     if (term <= m_term || !member(primary)) {
         return;
     }
-    adopt(term, primary, now);
-    changed();
+    adoptPrimary(term, primary, now);
+    invalidateSnapshot();
 }
 
 void GroupMonitor::onTrouble(TimePoint now)
@@ -176,8 +176,8 @@
         m_noPrimarySince = now;
     }
     m_splitSince.reset();
-    m_hurryUntil = now + m_options.hurrySpan;
-    changed();
+    m_urgentUntil = now + m_options.urgentSpan;
+    invalidateSnapshot();
 }
 
 std::shared_ptr<const GroupSnapshot> GroupMonitor::snapshot() const
@@ -311,13 +311,13 @@
         const RoundId id = member.outstanding.front().round;
         member.outstanding.pop_front();
         finishProbe(id);
-        changed();
+        invalidateSnapshot();
     }
     const bool suspected = member.detector.suspects(now);
     if (suspected && (member.reachable || !member.judged)) {
         member.reachable = false;
         member.judged = true;
-        changed();
+        invalidateSnapshot();
     }
 }
 
@@ -325,7 +325,7 @@
 {
     member.reachable = true;
     member.judged = true;
-    member.heardAt = std::max(member.heardAt, sentAt);
+    member.lastAnswerSentAt = std::max(member.lastAnswerSentAt, sentAt);
     if (member.status && id <= member.statusRound) {
         return;
     }
@@ -355,23 +355,23 @@
 
 // A primary of a higher term proves that a majority promised that term, so every
 // lower one is replaced, confirmed or not.
-void GroupMonitor::learnTerm(const MemberStatus &status, RoundId id, TimePoint now)
+void GroupMonitor::updateTerm(const MemberStatus &status, RoundId id, TimePoint now)
 {
     const bool newest = member(status.upstream)->statusRound <= id;
     const bool returned = m_primary.empty() && newest && status.followingTerm == m_term && !majorityPromisedAbove(m_term);
     if (leads(status) && (status.followingTerm > m_term || returned)) {
-        adopt(status.followingTerm, status.upstream, now);
+        adoptPrimary(status.followingTerm, status.upstream, now);
     }
     if (m_primary.empty()) {
         return;
     }
     const bool steppedDown = status.upstream == m_primary && newest && !leads(status);
     if (steppedDown || majorityPromisedAbove(m_term)) {
-        withdraw(now);
+        withdrawPrimary(now);
     }
 }
 
-void GroupMonitor::adopt(Term term, const std::string &primary, TimePoint now)
+void GroupMonitor::adoptPrimary(Term term, const std::string &primary, TimePoint now)
 {
     if (m_options.leaderProvesItself && term > m_term) {
         m_watermarks.clear();
@@ -381,13 +381,13 @@
     m_confirmed = false;
     m_noPrimarySince.reset();
     m_splitSince.reset();
-    m_hurryUntil = now + m_options.hurrySpan;
+    m_urgentUntil = now + m_options.urgentSpan;
     m_changedAt = now;
 }
 
-void GroupMonitor::withdraw(TimePoint now)
+void GroupMonitor::withdrawPrimary(TimePoint now)
 {
-    m_hurryUntil = now + m_options.hurrySpan;
+    m_urgentUntil = now + m_options.urgentSpan;
     m_changedAt = now;
     m_primary.clear();
     m_confirmed = false;
@@ -426,7 +426,7 @@
     }
 }
 
-void GroupMonitor::changed()
+void GroupMonitor::invalidateSnapshot()
 {
     m_snapshot.reset();
 }
--- a/src/core/group/groupmonitorasking.cpp
+++ b/src/core/group/groupmonitorasking.cpp
@@ -29,7 +29,7 @@
         return *m_lastRoundAt + m_options.busyInterval;
     }
     const bool refusing = primary && primary->detector.refusing() && !primary->detector.refused();
-    const bool hurry = refusing || (!m_confirmed && now < m_hurryUntil);
+    const bool hurry = refusing || (!m_confirmed && now < m_urgentUntil);
     return *m_lastRoundAt + (hurry ? std::min(m_options.hurryInterval, m_options.idleInterval) : m_options.idleInterval);
 }
 
@@ -39,7 +39,7 @@
     if (trouble) {
         return *m_lastRoundAt + m_options.busyInterval;
     }
-    const bool lately = now < m_hurryUntil;
+    const bool lately = now < m_urgentUntil;
     return *m_lastRoundAt + (lately ? std::min(m_options.searchInterval, m_options.idleInterval) : m_options.idleInterval);
 }
 
@@ -48,7 +48,7 @@
     const Member *const primary = member(m_primary);
     const bool refusing = primary && primary->detector.refusing() && !primary->detector.refused();
     const bool trouble = m_troubleAt && *m_troubleAt >= *m_lastRoundAt;
-    return refusing || trouble || (!m_confirmed && now < m_hurryUntil);
+    return refusing || trouble || (!m_confirmed && now < m_urgentUntil);
 }
 
 // How long a member may be silent before it is asked.
@@ -58,7 +58,7 @@
         return std::min(m_options.hurryInterval, m_options.idleInterval);
     }
     const bool matters = m_homes.contains(member.spec.upstream) || member.spec.upstream == m_primary;
-    if (matters && member.detector.awaits()) {
+    if (matters && member.detector.awaitsAnswer()) {
         return m_options.idleInterval / 2;
     }
     const bool changedLately = now < m_changedAt + m_options.changeSpan;
@@ -70,7 +70,7 @@
     if (saturated(member)) {
         return TimePoint::max();
     }
-    return std::max(member.heardAt, member.probedAt) + intervalOf(member, now);
+    return std::max(member.lastAnswerSentAt, member.probedAt) + intervalOf(member, now);
 }
 
 bool GroupMonitor::isAsked(const Member &each, RoundScope scope, TimePoint now) const
--- a/src/core/group/groupmonitorproof.cpp
+++ b/src/core/group/groupmonitorproof.cpp
@@ -27,7 +27,7 @@
 void GroupMonitor::onStatementAnswer(const StatementProof &proof, TimePoint now)
 {
     Member *const answering = member(proof.status.upstream);
-    if (!answering || proof.sentAt <= answering->heardAt) {
+    if (!answering || proof.sentAt <= answering->lastAnswerSentAt) {
         return;
     }
     const bool isPrimary = proof.status.upstream == m_primary;
@@ -39,16 +39,16 @@
         answering->status->replayed = std::max(answering->status->replayed, proof.status.replayed);
     }
     if (!isPrimary) {
-        answering->heardAt = proof.sentAt;
+        answering->lastAnswerSentAt = proof.sentAt;
     } else if (proof.leads) {
-        answering->heardAt = proof.sentAt;
+        answering->lastAnswerSentAt = proof.sentAt;
         addWatermark({proof.sentAt, proof.status.received});
         m_confirmed = true;
         // What rounds from before could not prove is proven now.
         m_provenRound = std::max(m_provenRound, m_lastRound);
-        m_hurryUntil = std::min(m_hurryUntil, now);
+        m_urgentUntil = std::min(m_urgentUntil, now);
     }
-    changed();
+    invalidateSnapshot();
 }
 
 std::optional<Watermark> GroupMonitor::newestWatermark() const
--- a/src/core/group/promoter.cpp
+++ b/src/core/group/promoter.cpp
@@ -42,7 +42,7 @@
     beginAttempt(highestPromised, now);
     m_suspicion = suspicion;
     if (m_agreeing.size() >= majority() || m_options.faults.withoutOpinions) {
-        return enterStore(now);
+        return startClaim(now);
     }
     m_phase = Phase::AskingOpinions;
     m_phaseDeadline = now + m_options.opinionTimeout;
@@ -61,7 +61,7 @@
     m_preferred = preferred;
     if (m_options.promoteBy == PromoteBy::ThirdParty) {
         m_suspicion.term = highestPromised;
-        return enterStore(now);
+        return startClaim(now);
     }
     // The claim would only cost time while writes are paused: a planned change
     // that meets another promoter loses to it harmlessly.
@@ -74,8 +74,8 @@
         return {};
     }
     (agrees ? m_agreeing : m_disagreeing).insert(fromHome);
-    if (agreed(now)) {
-        return enterStore(now);
+    if (majorityAgrees(now)) {
+        return startClaim(now);
     }
     if (m_members.size() - m_disagreeing.size() < majority()) {
         return giveUp(GiveUpReason::NoAgreement, now);
@@ -91,7 +91,7 @@
     if (!record) {
         return withoutClaim(now);
     }
-    return judgeRecord(*record, now);
+    return evaluateRecord(*record, now);
 }
 
 PromoterActions Promoter::onClaim(AttemptId attempt, const ClaimAnswer &answer, TimePoint now)
@@ -104,7 +104,7 @@
         m_record = answer.current;
         return beginFence(now);
     case ClaimResult::Conflict:
-        return judgeRecord(answer.current, now);
+        return evaluateRecord(answer.current, now);
     case ClaimResult::LostAnswer:
         // The claim may stand. Taking it for lost would make this promoter wait
         // for its own claim; reading it back tells by the token.
@@ -138,7 +138,7 @@
         m_refusing.insert(status.upstream);
         m_promises.erase(status.upstream);
     }
-    return judgePromises(now);
+    return evaluatePromises(now);
 }
 
 PromoterActions Promoter::onPromote(AttemptId attempt, const ControlAnswer &answer, TimePoint now)
@@ -176,7 +176,7 @@
         return {};
     }
     m_failed.insert(upstream);
-    return judgePromises(now);
+    return evaluatePromises(now);
 }
 
 PromoterActions Promoter::onGroup(const GroupSnapshot &snapshot, const std::vector<MemberStatus> &statuses, TimePoint now)
@@ -322,7 +322,7 @@
 // since writes go through its home in that zone. So that home needs less: answers of
 // a majority of homes, which show that it is not the one that is cut off, and more
 // patience, since it judges alone.
-bool Promoter::agreed(TimePoint now) const
+bool Promoter::majorityAgrees(TimePoint now) const
 {
     const bool ownPrimary = m_homes.contains(m_suspicion.primary);
     const bool patient = now - m_suspectedSince >= m_options.loneHomePatience;
@@ -392,17 +392,17 @@
     m_candidate.clear();
 }
 
-PromoterActions Promoter::enterStore(TimePoint now)
+PromoterActions Promoter::startClaim(TimePoint now)
 {
     m_phaseDeadline = now + m_options.claimTimeout;
     if (m_record) {
-        return judgeRecord(*m_record, now);
+        return evaluateRecord(*m_record, now);
     }
     m_phase = Phase::ReadingRecord;
     return {ReadRecord{m_attempt}};
 }
 
-PromoterActions Promoter::judgeRecord(const VersionedRecord &current, TimePoint now)
+PromoterActions Promoter::evaluateRecord(const VersionedRecord &current, TimePoint now)
 {
     m_record = current;
     if (m_phase == Phase::ReadingBack && current.record.claimToken == m_token) {
@@ -464,7 +464,7 @@
     return actions;
 }
 
-PromoterActions Promoter::judgePromises(TimePoint now)
+PromoterActions Promoter::evaluatePromises(TimePoint now)
 {
     if (outbid()) {
         return giveUp(GiveUpReason::Outbid, now);
@@ -507,7 +507,7 @@
     });
 }
 
-const MemberStatus *Promoter::choose() const
+const MemberStatus *Promoter::chooseCandidate() const
 {
     const MemberStatus *best = nullptr;
     for (const MemberSpec &member : m_members) {
@@ -515,14 +515,14 @@
         if (promise == m_promises.end()) {
             continue;
         }
-        if (!best || better(promise->second, *best)) {
+        if (!best || isBetterCandidate(promise->second, *best)) {
             best = &promise->second;
         }
     }
     return best;
 }
 
-bool Promoter::better(const MemberStatus &candidate, const MemberStatus &best) const
+bool Promoter::isBetterCandidate(const MemberStatus &candidate, const MemberStatus &best) const
 {
     if (m_options.faults.ignoreMarks) {
         return false;
@@ -539,7 +539,7 @@
 
 PromoterActions Promoter::sendPromote(TimePoint now)
 {
-    const MemberStatus *const chosen = choose();
+    const MemberStatus *const chosen = chooseCandidate();
     if (!chosen) {
         return giveUp(GiveUpReason::PromotionUnanswered, now);
     }
--- a/testing/support/groupworld.h
+++ b/testing/support/groupworld.h
@@ -199,9 +199,9 @@
     {
         return m_now;
     }
-    std::string story() const
+    std::string eventLog() const
     {
-        return m_story.str();
+        return m_eventLog.str();
     }
 
 private:
@@ -225,7 +225,7 @@
         // Rises with every restart: messages for an earlier life are dropped.
         std::uint64_t incarnation = 0;
         bool paused = false;
-        bool clockStands = false;
+        bool clockStopped = false;
         microseconds pausedAt{0};
         // Time that its own clock has not counted.
         microseconds lostTime{0};
@@ -713,7 +713,7 @@
     {
         const std::size_t target = indexOf(order.upstream);
         if (oneIn(m_options.ambushPromotionOneIn)) {
-            ambush(index, target);
+            injectPromotionFault(index, target);
         }
         ask<ControlAnswer>(
             index, target,
@@ -944,7 +944,7 @@
     }
 
     // Strikes a candidate just as its promotion leaves.
-    void ambush(std::size_t home, std::size_t member)
+    void injectPromotionFault(std::size_t home, std::size_t member)
     {
         const microseconds length(20'000 + below(150'000));
         switch (below(3)) {
@@ -1014,17 +1014,17 @@
         }
         home.paused = true;
         home.pausedAt = m_now;
-        home.clockStands = below(2) == 0;
-        note("pause home " + m_members[index].name + (home.clockStands ? ", its clock stands still" : ""));
+        home.clockStopped = below(2) == 0;
+        note("pause home " + m_members[index].name + (home.clockStopped ? ", its clock stands still" : ""));
         const std::uint64_t incarnation = home.incarnation;
         after(length, [this, index, incarnation] {
             if (m_homes[index]->incarnation == incarnation) {
-                wakeHome(index);
+                resumeHome(index);
             }
         });
     }
 
-    void wakeHome(std::size_t index)
+    void resumeHome(std::size_t index)
     {
         Home &home = *m_homes[index];
         if (!home.paused) {
@@ -1032,7 +1032,7 @@
         }
         note("home wakes " + m_members[index].name);
         home.paused = false;
-        if (home.clockStands) {
+        if (home.clockStopped) {
             home.lostTime += m_now - home.pausedAt;
         }
         const TimePoint now = localNow(index);
@@ -1059,7 +1059,7 @@
         for (std::size_t i = 0; i < m_members.size(); ++i) {
             m_members[i].alive = true;
             m_members[i].frozen = false;
-            wakeHome(i);
+            resumeHome(i);
         }
         for (std::vector<int> *links : {&m_homeMemberCut, &m_homeHomeCut, &m_memberMemberCut, &m_homeStoreCut}) {
             std::ranges::fill(*links, -1'000'000);
@@ -1187,7 +1187,7 @@
 
     void note(const std::string &what)
     {
-        m_story << m_now.count() << " us: " << what << '\n';
+        m_eventLog << m_now.count() << " us: " << what << '\n';
     }
 
     WorldOptions m_options;
@@ -1225,7 +1225,7 @@
     std::size_t m_lostAcks = 0;
     microseconds m_longestGap{0};
     std::string m_violation;
-    std::ostringstream m_story;
+    std::ostringstream m_eventLog;
 };
 
 } // namespace egrettide::testing
--- a/tests/core/freshness_test.cpp
+++ b/tests/core/freshness_test.cpp
@@ -86,7 +86,7 @@
     double meanWait = 0; // milliseconds
 };
 
-PolicyResult runSteadyDay(const Policy &policy)
+PolicyResult runSteadyLoad(const Policy &policy)
 {
     constexpr std::uint32_t days = 3;
     PolicyResult result;
@@ -201,9 +201,9 @@
 
 BOOST_AUTO_TEST_CASE(KeepsMoreReadsOffThePrimaryThanTheBaseline)
 {
-    const PolicyResult baseline = runSteadyDay({RoutingPolicy::Baseline, WaitPolicy::Never, true});
-    const PolicyResult unwaiting = runSteadyDay({RoutingPolicy::Replicas, WaitPolicy::Never, true});
-    const PolicyResult ours = runSteadyDay({RoutingPolicy::Replicas, WaitPolicy::Predict, true});
+    const PolicyResult baseline = runSteadyLoad({RoutingPolicy::Baseline, WaitPolicy::Never, true});
+    const PolicyResult unwaiting = runSteadyLoad({RoutingPolicy::Replicas, WaitPolicy::Never, true});
+    const PolicyResult ours = runSteadyLoad({RoutingPolicy::Replicas, WaitPolicy::Predict, true});
     BOOST_TEST_MESSAGE("baseline: " << describe(baseline));
     BOOST_TEST_MESSAGE("replicas, never waiting: " << describe(unwaiting));
     BOOST_TEST_MESSAGE("replicas, predicted waits: " << describe(ours));
@@ -276,14 +276,14 @@
 BOOST_AUTO_TEST_CASE(NoticesArrivalsTakenForNewSessions)
 {
     Mutation mutation;
-    mutation.forgetArrival = true;
+    mutation.arrivalHasEmptyFloor = true;
     expectCaught(mutation, {Claim::ReadYourWrites, Claim::MonotonicReads});
 }
 
 BOOST_AUTO_TEST_CASE(NoticesArrivalsThatUseOldConfirmations)
 {
     Mutation mutation;
-    mutation.arrivalFromThePast = true;
+    mutation.useEarlierConfirmations = true;
     expectCaught(mutation, {Claim::ReadYourWrites, Claim::MonotonicReads, Claim::Latest});
 }
 
--- a/tests/core/freshnessworld.h
+++ b/tests/core/freshnessworld.h
@@ -34,11 +34,11 @@
     GateChecks gate;
     GroupMonitorFaults monitor;
     // An arrival without a token counts as one with an empty floor.
-    bool forgetArrival = false;
+    bool arrivalHasEmptyFloor = false;
     // The floor rises to what the gate knew, not to a mark taken behind the read.
     bool floorFromLowerBound = false;
     // Arrivals may use confirmations from before they arrived.
-    bool arrivalFromThePast = false;
+    bool useEarlierConfirmations = false;
     // Confirmations since the receipt of a read stand in for its floor, also when it
     // was pipelined behind a write.
     bool floorSinceReceipt = false;
@@ -145,7 +145,7 @@
     std::chrono::hours offset{0};
     // Time that its clock did not count while it stood still.
     milliseconds lost{0};
-    bool stands = false;
+    bool suspended = false;
     // By member: its probes get lost.
     std::array<bool, Group::size> cutOff{};
 
@@ -306,7 +306,7 @@
         case Op::Cut:
             return cut(command);
         case Op::Gap:
-            return standStill(m_hosts[command.a % m_hosts.size()], 1 + command.c % 64);
+            return suspendHost(m_hosts[command.a % m_hosts.size()], 1 + command.c % 64);
         }
     }
 
@@ -348,7 +348,7 @@
             }
             carryProbes();
             for (Caller &caller : m_callers) {
-                if (!m_hosts[caller.host].stands) {
+                if (!m_hosts[caller.host].suspended) {
                     carryRead(caller);
                 }
             }
@@ -359,7 +359,7 @@
     void beginDueRounds()
     {
         for (std::size_t i = 0; i < m_hosts.size(); ++i) {
-            if (m_hosts[i].stands) {
+            if (m_hosts[i].suspended) {
                 continue;
             }
             const bool waiters = std::any_of(m_callers.begin(), m_callers.end(), [i](const Caller &caller) {
@@ -394,7 +394,7 @@
 
     bool isIn(const Probe &probe) const
     {
-        return probe.answerAt <= m_now && !m_hosts[probe.host].stands;
+        return probe.answerAt <= m_now && !m_hosts[probe.host].suspended;
     }
 
     void arrive(Caller &caller, std::size_t host, const std::string &token)
@@ -408,7 +408,7 @@
         caller.state = std::make_unique<SessionState>(defaults, m_codec, m_hosts[host].local(m_now));
         if (!token.empty()) {
             (void)caller.state->applyStartup({{"egrettide.session", token}});
-        } else if (m_mutation.forgetArrival) {
+        } else if (m_mutation.arrivalHasEmptyFloor) {
             (void)caller.state->set("egrettide.session", m_codec->encode(SessionFloor{"db", LogMark{}}));
         }
     }
@@ -437,11 +437,11 @@
 
     // Stops a host and its clock, as a suspended virtual machine; others go on. What
     // reached it meanwhile is taken in after it has noticed the gap.
-    void standStill(Host &host, Instant time)
+    void suspendHost(Host &host, Instant time)
     {
-        host.stands = true;
+        host.suspended = true;
         pass(time);
-        host.stands = false;
+        host.suspended = false;
         host.lost += milliseconds(time);
         host.monitor->onClockGap(host.local(m_now));
     }
@@ -486,7 +486,7 @@
         read.request.kind = StatementKind::Read;
         read.request.freshness = caller.state->freshnessFor(StatementKind::Read);
         read.request.receivedAt =
-            caller.state->freshSince(host.local(read.receivedAt)) - milliseconds(m_mutation.arrivalFromThePast ? 40 : 0);
+            caller.state->freshSince(host.local(read.receivedAt)) - milliseconds(m_mutation.useEarlierConfirmations ? 40 : 0);
         read.request.deadline = now + milliseconds(300);
         read.request.upstream = m_group.member(command.a % Group::size).name;
         if (read.routed) {
--- a/tests/core/group_test.cpp
+++ b/tests/core/group_test.cpp
@@ -65,7 +65,7 @@
 
 using Configure = std::function<WorldOptions(std::uint64_t seed)>;
 
-// Runs schedules from seeds that RapidCheck draws; a failure prints seed and story.
+// Runs schedules from seeds that RapidCheck draws; a failure prints seed and eventLog.
 Totals checkSchedules(const char *claim, const Configure &configure, std::uint64_t perCase = schedulesPerCase)
 {
     Totals totals;
@@ -77,7 +77,7 @@
             const std::string violation = world.run();
             totals.add(world);
             if (!violation.empty()) {
-                RC_FAIL(violation + "\n" + world.story());
+                RC_FAIL(violation + "\n" + world.eventLog());
             }
         }
     }));
