--- a/include/egrettide/core/commitgate.h
+++ b/include/egrettide/core/commitgate.h
@@ -1,7 +1,8 @@
-// Holds back the answers of commits until it is proven that no failover can lose
-// them. A replaced primary that still believes it leads may take a write; its
-// answer must not reach the caller. One status of one member can release any
-// number of commits, so the cost of confirmation does not grow with the writes.
+// CommitGate holds the answer of a commit until a majority of the group proves that no
+// failover can lose the write. A primary that was replaced without noticing may still
+// accept a write; its answer must not reach the caller. One status of one member can
+// release any number of commits, so the cost of confirmation does not grow with the number
+// of writes.
 
 #pragma once
 
@@ -19,16 +20,16 @@
 namespace egrettide
 {
 
-// Names one held answer; chosen by the driver, unique within a gate.
+// Identifies one held answer; chosen by the driver, unique within a gate.
 using CommitId = std::uint64_t;
 
 enum class CommitOutcome {
     // The answer may go to the caller.
     Confirmed,
-    // The term it was written under has ended before it was proven: the outcome
-    // is unknown (SQLSTATE 08007), and the write must not be sent again.
+    // The term of the write ended before the write was proven: the outcome is unknown
+    // (SQLSTATE 08007), and the write must not be sent again.
     LostPrimary,
-    // Its deadline passed before it was proven: the outcome is unknown.
+    // The deadline passed before the write was proven: the outcome is unknown.
     Expired,
 };
 
@@ -37,12 +38,12 @@
     CommitOutcome outcome = CommitOutcome::Expired;
 };
 
-// Switches mechanisms off so that tests can show that each one is needed. All
-// false in production.
+// Disables single mechanisms, so that tests can show that each is needed. All false in
+// production.
 struct CommitGateFaults {
-    // Takes the primary's word.
+    // Confirms a commit on the primary's status alone.
     bool withoutMajority = false;
-    // Counts every member that holds the mark, whatever it has promised since.
+    // Counts every member that holds the mark, even after it promised a higher term.
     bool ignorePromises = false;
 };
 
@@ -54,29 +55,29 @@
     CommitGate(const CommitGate &) = delete;
     CommitGate &operator=(const CommitGate &) = delete;
 
-    // Holds the answer of a commit that was sent to the primary while it served
-    // `sentUnder`. `after` is the primary's status taken on the same connection
-    // after the commit; `now` is at or after its receipt. A status that does not
-    // show the primary of that term any more resolves it at once as lost.
+    // Holds the answer of a commit that was sent to the primary of term `sentUnder`.
+    // `after` is the primary's status, taken on the same connection after the commit; `now`
+    // is at or after its receipt. If that status no longer shows the primary of
+    // `sentUnder`, the commit resolves immediately as LostPrimary.
     std::vector<CommitResolution> add(CommitId id, Term sentUnder, const MemberStatus &after, TimePoint deadline, TimePoint now);
-    // Every status of a member that the host learns, from any round, late or not:
-    // what it proves stays true. `sentAt` is when its probe left.
+    // Takes every status of a member that the host receives, from any round and in any
+    // order: what a status proves stays true. `sentAt` is when its probe was sent.
     std::vector<CommitResolution> onMemberStatus(const MemberStatus &status, TimePoint sentAt);
-    // Gives up what has passed its deadline.
+    // Resolves all commits whose deadline has passed as Expired.
     std::vector<CommitResolution> onTimer(TimePoint now);
-    // Gives up everything with the outcome LostPrimary, for a home that closes.
+    // Resolves all held commits as LostPrimary; called when the home closes.
     std::vector<CommitResolution> abandonAll();
-    // A configuration changed the members or the durability. Evidence of members
-    // that stay is kept.
+    // Applies a configuration with other members or another durability. Evidence of members
+    // that remain is kept.
     std::vector<CommitResolution> configure(std::vector<std::string> members, Durability durability);
 
-    // The number of held answers: while it is not 0, rounds should follow each
-    // other closely (GroupMonitor::nextProbeAt).
+    // The number of held answers. While it is not 0, probe rounds should follow each other
+    // closely (GroupMonitor::nextProbeAt).
     std::size_t waiting() const;
     std::optional<TimePoint> nextDeadline() const;
-    // Since when the oldest held answer waits; unset while none does. When replicas
-    // lag, this grows: a home that refuses new writes beyond a bound ("not run")
-    // spares them the unknown outcome that the held ones are heading for.
+    // When the oldest held answer was added; unset while none is held. Its age grows while
+    // replicas lag. A home that refuses new writes above an age limit (outcome "not run")
+    // spares them the unknown outcome that the held ones may get.
     std::optional<TimePoint> heldSince() const;
 
 private:
@@ -90,14 +91,14 @@
     struct Evidence {
         // The highest position it held while that term was its promise.
         Position received = 0;
-        // The latest send time of a probe that found the term promised.
+        // The latest send time of a probe whose answer showed the term promised.
         TimePoint promisedAt;
     };
 
     struct Member {
         std::string upstream;
         Term promised = 0;
-        // By term; terms without held commits below the newest one are dropped.
+        // By term. Terms below the newest one are dropped once they have no held commits.
         std::map<Term, Evidence> evidence;
     };
 
@@ -112,7 +113,7 @@
     std::vector<Member> m_members;
     Durability m_durability;
     CommitGateFaults m_faults;
-    // Held commits by mark: a status releases a prefix of one term.
+    // Ordered by mark: a status releases a prefix of the commits of one term.
     std::multimap<LogMark, Held> m_held;
 };
 
--- a/include/egrettide/core/groupmonitor.h
+++ b/include/egrettide/core/groupmonitor.h
@@ -1,8 +1,9 @@
-// One observer's view of one database group, made from rounds of status probes.
-// A round is the unit of proof: all its probes leave at one moment, so what a
-// majority answers holds for that moment. The monitor says who the confirmed
-// primary is, which watermarks are proven, which members fail, and when to probe
-// next. It sends nothing itself: the driver carries out rounds and reports back.
+// GroupMonitor keeps one observer's view of one database group, based on rounds of status
+// probes. A round is the unit of proof: all its probes are sent at one time, so what a
+// majority answers holds for that time. The monitor reports the confirmed primary, the
+// proven watermarks (marks that bound what was acknowledged at a given time) and the failed
+// members, and when to probe next. It sends nothing itself: the driver executes the rounds
+// and reports the answers.
 
 #pragma once
 
@@ -22,7 +23,7 @@
 namespace egrettide
 {
 
-// Numbers the rounds of one monitor; it only rises.
+// Numbers the rounds of one monitor; strictly increasing.
 using RoundId = std::uint64_t;
 
 struct MemberSpec {
@@ -31,76 +32,81 @@
     bool leaving = false;
 };
 
-// Switches mechanisms off so that tests can show that each one is needed. All
-// false in production.
+// Disables single mechanisms, so that tests can show that each is needed. All false in
+// production.
 struct GroupMonitorFaults {
-    // Dates a watermark by the arrival of the answers: it then claims too much.
+    // Dates a watermark by the arrival of the answers, which makes it claim too recent a
+    // state.
     bool watermarkAtAnswer = false;
-    // Keeps watermarks and open rounds over a gap in the clock.
+    // Keeps watermarks and open rounds across a clock gap.
     bool trustAfterClockGap = false;
-    // Confirms a primary on its own word.
+    // Confirms a primary by its own status alone.
     bool confirmWithoutMajority = false;
 };
 
 struct GroupMonitorOptions {
-    // The spacing of rounds while a commit or a latest read waits for one.
+    // The interval between rounds while a commit or a latest read waits for one.
     milliseconds busyInterval{2};
-    // The spacing of rounds while nobody waits.
+    // The interval between rounds while no request waits for one.
     milliseconds idleInterval{50};
-    // The spacing for a while after the primary changed or was lost.
+    // The interval for `urgentSpan` after the primary changed or was lost.
     milliseconds hurryInterval{10};
     milliseconds urgentSpan{2000};
-    // Probes outstanding at one member; beyond that it is left out of rounds, so
-    // a silent member costs a bounded number of requests and delays nobody.
+    // The maximum number of outstanding probes at one member. A member at the limit is left
+    // out of rounds, so a silent member costs a bounded number of requests and delays no
+    // round.
     std::size_t outstandingLimit = 4;
     // Older watermarks are dropped.
     milliseconds watermarkSpan{10'000};
-    // A group without a primary is left to a running promotion for this long.
+    // How long a group may be without a primary before it is suspected: a promotion may be
+    // running.
     milliseconds noPrimaryPatience{400};
-    // Split promises are left to the orders to follow for this long.
+    // How long promises may be split before the primary is suspected: orders to follow may
+    // be on their way.
     milliseconds splitPatience{1000};
     FailureDetectorOptions detector;
-    // True when a replaced primary knows that it is replaced: its own word proves
-    // that it leads. Marks of a replaced primary may then name entries that the
-    // group has given up, so they are dropped with it.
+    // True when a replaced primary detects its own replacement, so that its own answer
+    // proves that it leads. Marks of a replaced primary may then name entries that the
+    // group has discarded, so its watermarks are dropped with it.
     bool leaderProvesItself = false;
-    // Where the primary proves itself no majority has to answer, so a round need only ask
-    // who has been silent: ordinary answers tell the same as a status. Of 54 status calls
-    // a second of a small deployment at rest, three databases of three, 5 remain.
+    // If the primary proves itself, no majority has to answer, and a round only probes
+    // members without a recent answer: ordinary answers carry the same information as a
+    // status. This reduces 54 status calls per second of a small idle deployment (three
+    // databases with three members each) to 5.
     bool asksOnlySilent = false;
-    // The spacing of rounds that look for a primary, whoever waits for one, while
-    // asksOnlySilent: for urgentSpan after the primary was lost, the idle interval later.
-    //
-    // What goes wrong without it: a zone is cut off, and its observers ask the one member
-    // that they reach every 20 ms whether it has become the primary: half of all status
-    // calls of a day with a cut of 6 s. A new primary is announced by whoever promoted it.
+    // The interval between rounds that search for a primary while only silent members are
+    // probed, independent of waiting requests: used for urgentSpan after the primary was
+    // lost, and the idle interval after that. Without it, the observers in a zone that is
+    // cut off probe the only member that they reach every 20 ms: half of all status calls
+    // of a day with a cut of 6 s. A new primary is announced by its promoter, so frequent
+    // probes find nothing sooner.
     milliseconds searchInterval{100};
-    // Members whose home is another host's are asked this often while nothing happens.
+    // The probe interval for members whose home is on another host, while nothing changes.
     milliseconds restInterval{3000};
-    // After a change of the primary all members are asked at the idle interval for this
-    // long: some may have to be told whom to follow.
+    // For this long after a change of the primary, all members are probed at the idle
+    // interval: some may need an order to follow it.
     milliseconds changeSpan{5000};
     GroupMonitorFaults faults;
 };
 
-// Whom a round asks, as far as GroupMonitorOptions::asksOnlySilent allows to leave some out.
+// Which members a round probes, if the options allow leaving some out.
 enum class RoundScope {
-    // Members that have not been heard of for their interval.
+    // Members that have not answered within their interval.
     Silent,
-    // The primary also: somebody waits for a proof.
+    // Also the primary, since a request waits for a proof.
     Proof,
     All,
 };
 
-// What a statement's answer told of its upstream.
+// What the answer to a statement shows about its upstream.
 struct StatementProof {
     MemberStatus status;
     TimePoint sentAt;
-    // True when an upstream that does not lead would have refused the statement.
+    // True when an upstream that is not the primary would have refused the statement.
     bool leads = false;
 };
 
-// What the driver has to send: one status probe to each of `upstreams`, now.
+// The driver has to send one status probe to each of `upstreams`, now.
 struct ProbeRound {
     RoundId id = 0;
     std::vector<std::string> upstreams;
@@ -111,80 +117,78 @@
     PrimaryRefuses,
     // No member is the primary of a term that a majority still accepts.
     NoPrimary,
-    // The primary answers and so does a majority, yet no majority stands by its
-    // term: promotions that died half-way left the members with different promises.
+    // The primary and a majority answer, but no majority stands by the primary's term:
+    // promotions that were aborted half-way left the members with different promises.
     SplitPromises,
 };
 
-// Why this observer thinks that the group needs a new primary.
+// Why this observer assumes that the group needs a new primary.
 struct Suspicion {
     SuspicionReason reason = SuspicionReason::NoPrimary;
     // The primary in question, empty when there is none.
     std::string primary;
-    // The term in question: opinions about another term say nothing.
+    // The term in question; opinions about another term do not count.
     Term term = 0;
 };
 
-// Whether every majority of the one list shares a member with every majority of
-// the other. Hosts take a new configuration at different moments; without an
-// overlap one of them could confirm a commit that another one's promotion does not
-// find. Adding or removing one upstream at a time keeps the overlap, replacing one
-// in a single step does not.
+// Whether every majority of one list shares a member with every majority of the other.
+// Hosts apply a new configuration at different times; without an overlap, one host could
+// confirm a commit that the promotion of another host does not find. Adding or removing one
+// upstream at a time preserves the overlap; replacing one in a single step does not.
 bool majoritiesOverlap(const std::vector<std::string> &before, const std::vector<std::string> &after);
 
 class GroupMonitor
 {
 public:
-    // `members` are all upstreams of the group; the majority counts all of them,
-    // leaving ones included.
+    // `members` are all upstreams of the group; the majority counts all of them, including
+    // those that are leaving.
     GroupMonitor(std::string database, std::vector<MemberSpec> members, const GroupMonitorOptions &options = {});
     GroupMonitor(const GroupMonitor &) = delete;
     GroupMonitor &operator=(const GroupMonitor &) = delete;
 
-    // Starts a round whose probes all leave at `now`. Every probe has to be
-    // answered by onStatus or onProbeFailed, or it ends by itself in onTimer.
+    // Starts a round whose probes are all sent at `now`. Every probe is ended by onStatus
+    // or onProbeFailed, otherwise by onTimer.
     ProbeRound beginRound(TimePoint now, RoundScope scope = RoundScope::All);
-    // An ordinary answer of a member, in place of a probe.
+    // Takes the answer to an ordinary statement in place of a probe's.
     void onStatementAnswer(const StatementProof &proof, TimePoint now);
-    // The upstreams whose home this host is.
+    // Sets the upstreams whose home is this host.
     void setHomes(std::set<std::string> homes);
-    // Any answer, however late, doubled or out of order; each is used only for
-    // what it proves.
+    // Takes any answer, even late, duplicated or out of order; each is used only for what
+    // it proves.
     void onStatus(RoundId round, const MemberStatus &status, TimePoint now);
     void onProbeFailed(RoundId round, const std::string &upstream, ProbeFailure failure, TimePoint now);
-    // A promoter announced a primary: it is used at once and confirmed by the next
+    // A promoter announced a primary. It is used immediately and confirmed by the next
     // rounds, which follow soon.
     void onAnnounced(Term term, const std::string &primary, TimePoint now);
-    // A request to a member was reset or refused: the next round is due at once,
-    // so that the loss of an upstream under load is noticed before the next idle
-    // round. It raises no suspicion by itself.
+    // A request to a member was reset or refused: the next round is due immediately, so
+    // that the loss of an upstream under load is detected before the next idle round.
+    // Raises no suspicion by itself.
     void onTrouble(TimePoint now);
-    // Ends probes that have been unanswered for too long. Call it at least
-    // whenever a round begins.
+    // Ends probes that have timed out. Must be called at least whenever a round begins.
     void onTimer(TimePoint now);
-    // This process stood still, or its clock did: nothing is confirmed and no age
-    // is known until a new round says so.
+    // This process or its clock was suspended: nothing is confirmed and no age is known
+    // until a new round proves it.
     void onClockGap(TimePoint now);
-    // Takes a new list of members; what is known of the ones that stay is kept,
-    // every proof is not.
+    // Replaces the list of members. The state of members that remain is kept; all proofs
+    // are dropped.
     void setMembers(std::vector<MemberSpec> members);
 
-    // The current view; a new object whenever something changed, never null.
+    // The current view; never null. A new object is built after each change.
     std::shared_ptr<const GroupSnapshot> snapshot() const;
     // The newest proof, if any.
     std::optional<Watermark> newestWatermark() const;
     // When the next round should begin; it may lie in the past.
     TimePoint nextProbeAt(TimePoint now, bool waitersPresent) const;
-    // True while the member answers nothing, or refuses.
+    // True while the member is silent or refuses connections.
     bool suspects(std::string_view upstream, TimePoint now) const;
-    // Set while this observer holds that the group needs a new primary.
+    // Set while this observer assumes that the group needs a new primary.
     std::optional<Suspicion> suspicion(TimePoint now) const;
-    // This observer's opinion when another home asks whether `primary` of `term`
-    // (empty: any primary) has to be replaced. False when it knows a later term.
+    // This observer's opinion when another home asks whether `primary` of `term` (empty:
+    // any primary) has to be replaced. False when this observer has seen a later term.
     bool agrees(std::string_view primary, Term term, TimePoint now) const;
     // The highest term that any member was seen to promise.
     Term highestPromised() const;
-    // The newest status of each member that ever answered.
+    // The newest status of each member that has answered.
     std::vector<MemberStatus> statuses() const;
 
 private:
@@ -196,26 +200,26 @@
     struct Member {
         MemberSpec spec;
         FailureDetector detector;
-        // Oldest first; never longer than the limit.
+        // Oldest first; at most GroupMonitorOptions::outstandingLimit entries.
         std::deque<Probe> outstanding;
         std::optional<MemberStatus> status;
         // The round of `status`; an answer of an older round never replaces it.
         RoundId statusRound = 0;
-        // The highest promise seen, from any round: a promise is never taken back.
+        // The highest promise seen in any round; a promise is never withdrawn.
         Term promised = 0;
-        // When that round's probes left.
+        // When the probes of `statusRound` were sent.
         TimePoint observedAt;
-        // When the newest thing that it answered was sent to it; for the primary, the
-        // newest proof that it leads.
+        // When the newest request that it answered was sent; for the primary, when the
+        // newest proof of its leadership was sent.
         TimePoint lastAnswerSentAt;
-        // When a probe last left for it.
+        // When the last probe was sent to it.
         TimePoint probedAt;
-        double replayRate = 0; // entries a second
-        // The sample that the next rate is measured from.
+        double replayRate = 0; // entries per second
+        // The previous sample, from which the next rate is computed.
         TimePoint rateSampleAt;
         Position rateSample = 0;
         bool reachable = false;
-        // See MemberView::judged; never false again.
+        // See MemberView. Never becomes false again.
         bool judged = false;
     };
 
@@ -223,9 +227,9 @@
         TimePoint sentAt;
         std::size_t unanswered = 0;
         bool proven = false;
-        // False when it left out too many members to prove anything.
+        // False when too many members were left out for the round to prove anything.
         bool conclusive = false;
-        // By upstream: the first answer of each member, nothing later.
+        // The first answer of each member, by upstream.
         std::map<std::string, MemberStatus> answers;
     };
 
@@ -261,28 +265,29 @@
     GroupMonitorOptions m_options;
     RoundId m_lastRound = 0;
     std::optional<TimePoint> m_lastRoundAt;
-    // Open rounds: some probe of theirs may still be answered. Bounded by the
-    // outstanding probes of all members.
+    // Rounds with probes that may still be answered. Bounded by the outstanding probes of
+    // all members.
     std::map<RoundId, Round> m_rounds;
-    // The newest round that confirmed a primary, 0 for none.
+    // The newest round that confirmed a primary; 0 if none has.
     RoundId m_provenRound = 0;
-    // The highest term known to have had a primary, and that primary.
+    // The highest term known to have had a primary, and that primary; m_primary is empty
+    // while the primary is lost.
     Term m_term = 0;
     std::string m_primary;
     bool m_confirmed = false;
-    // Set while m_primary is empty, from the first round on.
+    // Set while m_primary is empty, once the first round has begun.
     std::optional<TimePoint> m_noPrimarySince;
     std::optional<TimePoint> m_troubleAt;
-    // Rounds follow closely until then, or until a primary is confirmed.
+    // Rounds follow closely until this time, or until a primary is confirmed.
     TimePoint m_urgentUntil;
-    // When the primary last changed or was lost, or members came or went.
+    // When the primary last changed or was lost.
     TimePoint m_changedAt;
     // Set while the members' promises are split.
     std::optional<TimePoint> m_splitSince;
     Term m_highestPromised = 0;
-    // Sorted by sentAt; marks never fall.
+    // Sorted by sentAt; marks never decrease.
     std::vector<Watermark> m_watermarks;
-    // Empty when something changed since it was last asked for.
+    // Null when the view has changed since the snapshot was last built.
     mutable std::shared_ptr<const GroupSnapshot> m_snapshot;
 };
 
--- a/include/egrettide/core/promoter.h
+++ b/include/egrettide/core/promoter.h
@@ -1,9 +1,11 @@
-// Takes one database group from a suspected primary to a new one: opinions of the
-// group's homes, claim in the store, fence at a majority, choice, promotion,
-// followers, announcement. Several promoters may run at once, be paused and wake
-// up, lose answers or find the store gone: what keeps the group safe is only the
-// promise of a majority, given to one token for each term. Events come in, typed
-// actions come out; the driver carries them out and reports the answers.
+// Promoter replaces a suspected primary of one database group by a new one. The steps of an
+// attempt are: ask the group's homes for their opinions, claim the promotion in the store,
+// fence a majority of the members (obtain their promises of a new term), choose the most
+// advanced member, promote it, order the others to follow, and announce the primary.
+// Several promoters may run at once, be suspended and resumed, lose answers, or lose the
+// store. Safety relies only on the promises of a majority, given to one token per term.
+// Events come in and typed actions go out; the driver executes the actions and reports the
+// answers.
 
 #pragma once
 
@@ -23,25 +25,26 @@
 namespace egrettide
 {
 
-// Numbers the attempts of one promoter. Every action carries it and every answer
-// returns it; answers of earlier attempts are dropped.
+// Numbers the attempts of one promoter. Every action carries it and every answer returns
+// it; answers to earlier attempts are dropped.
 using AttemptId = std::uint64_t;
 
-// What the store keeps about a group: a hint that lasts. It tells a fresh host
-// where to start and keeps two promoters from duelling; nothing relies on it.
+// The persistent hint about a group in the store. It tells a newly started host where to
+// begin and keeps two promoters from repeatedly outbidding each other; no safety property
+// relies on it.
 struct GroupRecord {
     // The last announced primary.
     Term term = 0;
     std::string primary;
-    // The promotion that is under way, if any; the token names the attempt.
+    // The running promotion, if any; the token identifies the attempt.
     std::string claimToken;
     std::string claimHolder;
-    // The term that the claim wants to end. A claim on an earlier term than the
-    // one in question is over, whether or not its holder could say so.
+    // The term that the claim is to end. A claim on an earlier term than the one in
+    // question is over, even if its holder never recorded the end.
     Term claimedOver = 0;
 };
 
-// The record as it stood at one version of the store's object; 0 when absent.
+// The record at one version of the store's object; version 0 means that it does not exist.
 struct VersionedRecord {
     std::uint64_t version = 0;
     GroupRecord record;
@@ -81,13 +84,13 @@
     std::string upstream;
     Term term = 0;
     std::string token;
-    // The version of the claim's record: it rises with every claim, and no two
-    // claims share it. 0 without a claim.
+    // The version of the claim's record, which rises with every claim and is unique to it.
+    // 0 without a claim.
     std::uint64_t fencingToken = 0;
 };
 
-// group_follow(term, token, address of `primary`) at `upstream`; report with
-// onFollow; a failure needs no report, it is sent again.
+// group_follow(term, token, address of `primary`) at `upstream`; report with onFollow.
+// Failures need no report, since the order is sent again.
 struct SendFollow {
     std::string upstream;
     Term term = 0;
@@ -95,15 +98,15 @@
     std::string primary;
 };
 
-// Tell the other homes, and this host's own fronts, that `primary` leads `term`.
+// Announce to the other homes and to this host's own fronts that `primary` leads `term`.
 struct Announce {
     Term term = 0;
     std::string primary;
 };
 
-// Write the outcome to the store unless a record of a higher term stands there:
-// read, compare, replace conditionally, again after a conflict. A failure loses
-// no safety; the next promotion reads the group itself.
+// Write the outcome to the store unless it holds a record of a higher term: read, compare,
+// replace conditionally, and repeat after a conflict. A failure does not affect safety,
+// since the next promotion reads the state of the group itself.
 struct RecordInStore {
     GroupRecord record;
 };
@@ -117,17 +120,17 @@
     NoMajority,
     // A member has promised a higher term to another promoter.
     Outbid,
-    // The promotion was not answered; it may have happened.
+    // The order to promote was not answered; it may have been carried out.
     PromotionUnanswered,
-    // The clock had a gap: nothing learnt before it may be acted on.
+    // The clock had a gap: information from before it must not be used.
     ClockGap,
-    // The group has a confirmed primary after all.
+    // The group has a confirmed primary again, or one of a later term.
     PrimaryReturned,
-    // The store gave no claim, and nobody may promote without one.
+    // No claim could be made in the store, and a claim is required (PromoteBy::ThirdParty).
     NoClaim,
 };
 
-// The attempt is over; suspicions are ignored until `until`.
+// The attempt has ended without a promotion; suspicions are ignored until `until`.
 struct GiveUp {
     AttemptId attempt = 0;
     GiveUpReason reason = GiveUpReason::NoAgreement;
@@ -141,7 +144,7 @@
 // How the store answered a conditional write.
 enum class ClaimResult {
     Claimed,
-    // The version had moved on; the answer carries what stands there.
+    // The version has changed; the answer carries the current record.
     Conflict,
     // The store refused the connection or reported itself out of service.
     Unavailable,
@@ -151,7 +154,7 @@
 
 struct ClaimAnswer {
     ClaimResult result = ClaimResult::Unavailable;
-    // The version after the write for Claimed, the standing record for Conflict.
+    // The record after the write for Claimed, the current record for Conflict.
     VersionedRecord current;
 };
 
@@ -161,87 +164,91 @@
     MemberStatus status;
 };
 
-// Switches mechanisms off so that tests can show that each one is needed. All
-// false in production.
+// Disables single mechanisms, so that tests can show that each is needed. All false in
+// production.
 struct PromoterFaults {
-    // Goes on with the first promise.
+    // Continues after the first promise.
     bool withoutMajority = false;
-    // Takes the first promiser in the order of the configuration.
+    // Promotes the first member that promised, in the order of the configuration.
     bool ignoreMarks = false;
-    // Gives every attempt of every promoter the same token.
+    // Uses the same token for every attempt of every promoter.
     bool sharedToken = false;
-    // Promotes a second candidate under the same term when the first one does
-    // not answer.
+    // Promotes a second candidate in the same term when the first one does not answer.
     bool secondCandidateSameTerm = false;
-    // Needs nobody else's opinion.
+    // Acts without the opinions of other homes.
     bool withoutOpinions = false;
 };
 
-// Where the order to promote goes.
+// Which component receives the order to promote.
 enum class PromoteBy {
-    // To the member itself, which has promised the term to the attempt's token.
-    // Orders are idempotent for one token and are sent again while unanswered.
+    // The member itself, which has promised the term to the attempt's token. Orders are
+    // idempotent for one token and are sent again while unanswered.
     Member,
-    // To a third party that checks a fencing token and carries the order out in its
-    // own time. The token is the claim's version, so nothing is promoted without a
-    // claim; an order is sent once for each claim, since one that is unanswered may
-    // still be carried out; and only the group itself shows that it was.
+    // A third party that checks a fencing token and carries the order out asynchronously.
+    // The token is the version of the claim, so a claim is required. An order is sent once
+    // per claim, since an unanswered one may still be carried out, and its completion is
+    // visible only in the state of the group.
     ThirdParty,
 };
 
 struct PromoterOptions {
     PromoteBy promoteBy = PromoteBy::Member;
-    // How long opinions, the claim, each round of fences and the promotion may
-    // take. Fences and promotions are sent again every `resendInterval`.
+    // Timeout for collecting opinions. claimTimeout, fenceTimeout and promoteTimeout limit
+    // the claim, each round of fences and the promotion. Fences and promotions are sent
+    // again every `resendInterval`.
     milliseconds opinionTimeout{300};
-    // How long the primary's own home has to suspect it before it may act although
-    // the other homes still reach the primary: writes go through that home alone.
+    // How long the primary's own home has to suspect it before it may act although the
+    // other homes still reach the primary: writes go through that home only.
     milliseconds loneHomePatience{1500};
     milliseconds claimTimeout{200};
     milliseconds fenceTimeout{500};
     milliseconds promoteTimeout{300};
-    // A third party answers an order in milliseconds and carries it out some hundred later.
-    // One without an answer by then may be carried out seconds later or never: another
-    // claim and order, whose higher token makes the first one void, costs a tenth of that.
-    // With 2.5 s for both, a group stood without a primary for 1.6 s after one lost answer.
+    // A third party answers an order within milliseconds and carries it out some hundred
+    // milliseconds later. An order that is unanswered after this time may be carried out
+    // seconds later or never, and a second claim and order (whose higher token invalidates
+    // the first) takes a tenth of that. With 2.5 s for both, a group was without a primary
+    // for 1.6 s after one lost answer.
     milliseconds orderAnswerTimeout{400};
     milliseconds resendInterval{50};
-    // How long to wait after the majority for promises that may be more advanced.
+    // How long to wait, after a majority has promised, for promises of members that may be
+    // more advanced.
     milliseconds fenceGrace{10};
-    // The same for the successor of a planned change.
+    // The same for a planned change, to include its successor.
     milliseconds successorGrace{100};
     // How long an unchanged claim of another promoter is respected.
     milliseconds claimPatience{1000};
-    // Backoff after an attempt that failed; doubles from the one to the other and
-    // is drawn at random from its upper half, which ends duels.
+    // Backoff after a failed attempt. It doubles from floor to ceiling, and the delay is
+    // drawn at random from its upper half, so that competing promoters do not retry at the
+    // same time.
     milliseconds backoffFloor{50};
     milliseconds backoffCeiling{1000};
-    // Backoff after an attempt that the store ended, or another's claim: each attempt costs
-    // calls to the store, and nothing that it may find changes sooner.
+    // Backoff after an attempt that ended for lack of a claim or because of another
+    // promoter's claim: each attempt costs calls to the store, and their results do not
+    // change sooner.
     milliseconds claimBackoff{200};
-    // The spacing of follow orders to a member that does not follow yet.
+    // The interval between follow orders to a member that does not follow yet.
     milliseconds followInterval{200};
-    // How long a member may stand by a promise above the primary's term, left by
-    // a promotion that died, before the term is renewed.
+    // How long a member may keep a promise above the primary's term, left by an aborted
+    // promotion, before the term is renewed.
     milliseconds strandedPatience{2000};
     PromoterFaults faults;
 };
 
-// What a promoter is, fixed for its life.
+// The identity of a promoter, constant over its lifetime.
 struct PromoterIdentity {
     std::string database;
-    // The upstream whose home this is; homes are named by their upstreams.
+    // The upstream whose home this is; homes are identified by their upstreams.
     std::string home;
-    // Unique among hosts and among starts of one host, such as "10.0.0.7/18cf03".
-    // Tokens are made from it: two promoters with equal incarnations could share a
-    // promise, and with it a term.
+    // Unique per host and per start of a host, such as "10.0.0.7/18cf03". Tokens are
+    // derived from it: two promoters with equal incarnations could share a promise, and
+    // with it a term.
     std::string incarnation;
 };
 
 class Promoter
 {
 public:
-    // A suspicion that is not repeated for longer than this has ended.
+    // A suspicion that is not repeated within this time has ended.
     static constexpr milliseconds suspicionSpacing{200};
 
     // `members` are all upstreams of the group; each has one home. `random` makes
@@ -250,10 +257,10 @@
     Promoter(const Promoter &) = delete;
     Promoter &operator=(const Promoter &) = delete;
 
-    // Starts an attempt unless one is running or a backoff lasts. `highestPromised`
-    // is the highest promise seen by the monitor. Call it at least every
-    // `suspicionSpacing` for as long as the monitor holds the suspicion: how long it
-    // has lasted counts.
+    // Starts an attempt unless one is running or a backoff applies. `highestPromised` is
+    // the highest promise seen by the monitor. Must be called at least every
+    // `suspicionSpacing` while the monitor holds the suspicion, since the duration of the
+    // suspicion counts.
     PromoterActions onSuspicion(const Suspicion &suspicion, Term highestPromised, TimePoint now);
     // The opinion of another home on the question of `attempt`.
     PromoterActions onOpinion(AttemptId attempt, const std::string &fromHome, bool agrees, TimePoint now);
@@ -264,34 +271,36 @@
     PromoterActions onFollow(const ControlAnswer &answer, TimePoint now);
     // The member refused, reset or closed the connection of a fence or promotion.
     PromoterActions onMemberFailed(AttemptId attempt, const std::string &upstream, TimePoint now);
-    // Call it whenever the monitor's view changed. A confirmed primary ends an
-    // attempt that has fenced nobody yet; members that do not follow the primary,
-    // such as an old primary that returns, are told to by the primary's home.
+    // Must be called whenever the monitor's view has changed. A confirmed primary ends an
+    // attempt that has not yet sent fences. The primary's home orders members that do not
+    // follow the primary, such as a former primary that returns, to do so.
     PromoterActions onGroup(const GroupSnapshot &snapshot, const std::vector<MemberStatus> &statuses, TimePoint now);
     PromoterActions onTimer(TimePoint now);
-    // The process was paused: the running attempt is dropped and nothing that was
-    // collected for it is used; the next suspicion starts from new probes.
+    // The process was suspended: the running attempt and all information collected for it
+    // are dropped; the next suspicion starts from new probes.
     PromoterActions onClockGap(TimePoint now);
-    // Promotes `preferred` if it is among the promisers and none is more advanced,
-    // for a planned change: no opinions are asked, since the primary is well. Gives
-    // up at once, with attempt 0, while another attempt runs.
+    // Starts a planned change: promotes `preferred` if it promised the term and no other
+    // such member is more advanced. Asks for no opinions, since the primary works. Gives up
+    // immediately, with attempt 0, while another attempt runs.
     PromoterActions startPlanned(const std::string &preferred, Term highestPromised, TimePoint now);
-    // The upstreams whose home this host is now; its own home counts always. Their
-    // followers are looked after here while one of them is the primary.
+    // Sets the upstreams whose home is this host; its own home always counts. While one of
+    // them is the primary, this promoter sends the orders to follow.
     void setHomes(std::set<std::string> homes);
-    // A configuration changed the members; a running attempt is dropped.
+    // Applies a configuration with other members; a running attempt is dropped.
     PromoterActions setMembers(std::vector<MemberSpec> members, TimePoint now);
 
-    // When onTimer has to be called; unset while nothing is due.
+    // When onTimer has to be called; unset while no timer is set.
     std::optional<TimePoint> nextTimerAt() const;
     // True from the start of an attempt to its end.
     bool running() const;
-    // Set while a member is stranded on a promise above the primary's term: a
-    // planned change with the primary itself as successor gets it back.
+    // True while a member is stuck at a promise above the primary's term. A planned change
+    // with the primary itself as successor makes the member follow again.
     bool needsRenewal() const;
-    // True while an order is out and only the group itself shows when it is done.
+    // True while an order to promote is outstanding, whose completion is visible only in
+    // the state of the group.
     bool awaitsGroup() const;
-    // The members that have promised the running attempt's term, with what they hold.
+    // The members that have promised the running attempt's term, with the status that they
+    // reported.
     const std::map<std::string, MemberStatus> &promises() const;
 
 private:
@@ -349,13 +358,14 @@
 
     Phase m_phase = Phase::Idle;
     AttemptId m_attempt = 0;
-    // The term and token of the running attempt. Invariant: a token is used for
-    // one term and one candidate only.
+    // The term and token of the running attempt. Invariant: a token is used for one term
+    // and one candidate only.
     Term m_term = 0;
     std::string m_token;
     std::string m_preferred;
     Suspicion m_suspicion;
-    // The suspicion that the monitor holds now, and since when without a break.
+    // The monitor's current suspicion and its start; m_suspectedUntil is when it ends
+    // unless it is repeated.
     std::string m_suspected;
     Term m_suspectedTerm = 0;
     TimePoint m_suspectedSince;
@@ -364,36 +374,36 @@
     std::set<std::string> m_agreeing;
     std::set<std::string> m_disagreeing;
     TimePoint m_startedAt;
-    // The record as last read, claimed or found in a conflict.
+    // The record as last read, claimed, or returned by a conflict.
     std::optional<VersionedRecord> m_record;
     std::optional<ForeignClaim> m_foreignClaim;
-    // Promisers of m_term, with their status at the promise or later.
+    // Members that promised m_term, with their status at the promise or later.
     std::map<std::string, MemberStatus> m_promises;
-    // Members that promised a higher term to somebody else.
+    // Members that promised m_term or a higher term to another promoter.
     std::set<std::string> m_refusing;
     // Members whose connections failed during the running attempt.
     std::set<std::string> m_failed;
-    // The member that a promotion was sent to; there is no second one in a term.
+    // The candidate that the order to promote names; at most one per term.
     std::string m_candidate;
     std::optional<TimePoint> m_phaseDeadline;
     std::optional<TimePoint> m_resendAt;
     // Set once a majority has promised.
     std::optional<TimePoint> m_graceUntil;
     TimePoint m_backoffUntil;
-    // Attempts in a row that reached the members and failed.
+    // Consecutive attempts that reached the members and failed.
     std::size_t m_failures = 0;
-    // Terms that the running attempt has spent on candidates that fell silent.
+    // Terms of the running attempt whose candidate did not answer.
     std::size_t m_retries = 0;
-    // An attempt that fenced members and failed is repeated after its backoff,
-    // unless a primary appears: the group may have none until somebody finishes.
+    // An attempt that fenced members and failed is repeated after its backoff unless a
+    // primary appears: until a promotion completes, the group may have none.
     bool m_unfinished = false;
 
-    // The primary that members are told to follow; only the promoter that made it
-    // and the home of the primary itself give such orders.
+    // The primary that members are ordered to follow. Only the promoter that promoted it
+    // and the home of the primary itself send such orders.
     Term m_leaderTerm = 0;
     std::string m_leader;
     std::string m_leaderToken;
-    // Members that are not known to follow it yet.
+    // Orders to members that are not known to follow the primary yet.
     std::vector<Order> m_orders;
     std::optional<TimePoint> m_strandedSince;
     bool m_renewal = false;
--- a/include/egrettide/core/switchover.h
+++ b/include/egrettide/core/switchover.h
@@ -1,7 +1,7 @@
-// A planned change of primary without an error for any caller: writes pause (they
-// queue and were never sent), open transactions end, the successor catches up,
-// and only then is the term changed. Until the fence leaves, any trouble resumes
-// writes at the old primary as if nothing had been asked for.
+// Switchover runs a planned change of the primary without an error for any caller: writes
+// are paused (they are queued and not sent), open transactions drain, the successor catches
+// up, and only then the term changes. Before the first fence is sent, any failure resumes
+// writes at the old primary without any effect.
 
 #pragma once
 
@@ -21,40 +21,40 @@
 struct PauseWrites {
 };
 
-// Send queued writes again; nothing has changed.
+// Resume sending queued writes as usual.
 struct ResumeWrites {
 };
 
-// Answer everything queued as moved to `primary`: none of it was sent.
+// Answer all queued requests as moved to `primary`; none of them was sent.
 struct HandOver {
     Term term = 0;
     std::string primary;
 };
 
-// Call Promoter::startPlanned with this successor. From here on the change either
-// finishes or becomes an ordinary promotion.
+// Call Promoter::startPlanned with this successor. From here on, the change either
+// completes or becomes an unplanned promotion.
 struct StartPromotion {
     std::string successor;
 };
 
-// Begin rounds closely spaced until further notice: the change waits for marks.
+// Run probe rounds at short intervals until the change ends, since it waits for marks.
 struct WatchMarks {
 };
 
 enum class SwitchoverFailure {
-    // An open transaction outlived the drain deadline.
+    // A transaction was still open at the drain deadline.
     TransactionsOpen,
     // The successor did not reach the primary's mark in time.
     SuccessorBehind,
     // The primary or the successor was lost, or another term began.
     GroupChanged,
-    // The operators, or a stop of this host, called it off.
+    // Cancelled by an operator or because this host stops.
     Cancelled,
-    // The process was paused.
+    // The process was suspended.
     ClockGap,
 };
 
-// The change is over. `failure` is unset when a new term has begun.
+// The change has ended. `failure` is unset when a new term has begun.
 struct SwitchoverDone {
     std::optional<SwitchoverFailure> failure;
 };
@@ -63,12 +63,12 @@
 using SwitchoverActions = std::vector<SwitchoverAction>;
 
 struct SwitchoverOptions {
-    // How long open transactions may last after the pause.
+    // How long open transactions may continue after the pause.
     milliseconds drainTimeout{5000};
     // How long the successor may take to reach the primary's mark.
     milliseconds catchUpTimeout{3000};
-    // Writes paused beyond this, over all steps before the fence, are resumed;
-    // after the fence it is when the queue is given to the ordinary promotion.
+    // How long the promotion may take after the successor has caught up; then the change
+    // fails and queued writes wait for an unplanned promotion.
     milliseconds promotionTimeout{3000};
 };
 
@@ -79,19 +79,19 @@
     Switchover(const Switchover &) = delete;
     Switchover &operator=(const Switchover &) = delete;
 
-    // Starts a change from `snapshot.primary` to `successor`, which may be the
-    // same upstream: that renews the term. Refused with SwitchoverDone when the
-    // primary is not confirmed or the successor is not reachable.
+    // Starts a change from `snapshot.primary` to `successor`. If both are the same
+    // upstream, the change renews the term. Refused with SwitchoverDone when the primary is
+    // not confirmed or the successor is not reachable.
     SwitchoverActions start(const GroupSnapshot &snapshot, const std::string &successor, std::size_t openTransactions,
                             TimePoint now);
-    // The number of transactions open at the primary, whenever it changes. Commits
-    // whose confirmation is still awaited count as open.
+    // The number of open transactions at the primary; must be called whenever it changes.
+    // Commits that await their confirmation count as open.
     SwitchoverActions onOpenTransactions(std::size_t open, TimePoint now);
-    // The monitor's view, whenever it changes.
+    // Must be called whenever the monitor's view changes.
     SwitchoverActions onSnapshot(const GroupSnapshot &snapshot, TimePoint now);
     // The promoter announced a primary.
     SwitchoverActions onAnnounced(Term term, const std::string &primary, TimePoint now);
-    // The promoter gave up before or after it fenced somebody.
+    // The promoter gave up, before or after it fenced a member.
     SwitchoverActions onPromotionGaveUp(TimePoint now);
     SwitchoverActions onTimer(TimePoint now);
     SwitchoverActions onClockGap(TimePoint now);
@@ -114,8 +114,8 @@
     Term m_term = 0;
     std::string m_primary;
     std::string m_successor;
-    // When the last transaction had ended: only marks of watermarks sent at or
-    // after it are the final ones.
+    // When the last transaction had ended. Only watermarks sent at or after this time show
+    // the final mark of the term.
     TimePoint m_drainedAt;
     std::optional<LogMark> m_target;
     std::optional<TimePoint> m_deadline;
--- a/src/core/group/commitgate.cpp
+++ b/src/core/group/commitgate.cpp
@@ -1,4 +1,4 @@
-// Evidence of members about terms, and the commits that it releases.
+// Records what members prove about terms, and resolves the commits that this proves.
 
 #include "egrettide/core/commitgate.h"
 
@@ -109,9 +109,9 @@
     return m_members.size() / 2 + 1;
 }
 
-// A status proves what its member held while it still stood by the term: a member
-// that has promised more may hold the entry, but a promoter may have read its mark
-// before the entry came, so it counts no more.
+// A status proves what its member held only while the member had promised no higher term. A
+// member that has promised more may hold the entry, but a promoter may have read its mark
+// before the entry arrived, so it does not count.
 void CommitGate::recordEvidence(const MemberStatus &status, TimePoint sentAt)
 {
     const auto member = std::ranges::find(m_members, status.upstream, &Member::upstream);
@@ -178,8 +178,8 @@
     return reachedBy(std::move(times), m_faults.withoutMajority ? 1 : majority());
 }
 
-// Keeps what held commits need and the newest term; the rest would grow with the
-// number of failovers.
+// Keeps only the evidence of the newest term and of terms with held commits; otherwise the
+// evidence would grow with the number of failovers.
 void CommitGate::forgetOldTerms()
 {
     for (Member &member : m_members) {
--- a/src/core/group/failuredetector.cpp
+++ b/src/core/group/failuredetector.cpp
@@ -1,5 +1,6 @@
-// Round trip statistics as in TCP's retransmission timeout (RFC 6298), which
-// track a link's noise without a history, and two kinds of evidence of failure.
+// Round trip statistics as in TCP's retransmission timeout (RFC 6298), which follow the
+// noise of a link without a history, and the two kinds of evidence of failure: silence and
+// refusals.
 
 #include "egrettide/core/failuredetector.h"
 
@@ -14,8 +15,8 @@
 
 constexpr double meanGain = 0.125;
 constexpr double deviationGain = 0.25;
-// More send times would not change a verdict: only the oldest one and the number
-// up to FailureDetectorOptions::silentProbes count.
+// More send times would not change a decision: only the oldest one, and their number up to
+// FailureDetectorOptions::silentProbes, count.
 constexpr std::size_t unansweredLimit = 16;
 
 } // namespace
@@ -37,8 +38,8 @@
     onSignOfLife(sentAt);
 }
 
-// The upstream was alive when this reached it, so what was lost before says nothing any
-// more; later probes are still out.
+// The upstream was running when this request arrived, so earlier lost probes are
+// irrelevant; later probes are still outstanding.
 void FailureDetector::onSignOfLife(TimePoint sentAt)
 {
     m_refusals = 0;
--- a/src/core/group/freshnessgate.cpp
+++ b/src/core/group/freshnessgate.cpp
@@ -1,5 +1,5 @@
-// FreshnessGate: what a member of a group is proven to show, and whether waiting
-// for more pays.
+// Decides what a member of a group is proven to show, and whether a read should wait for
+// more.
 
 #include "egrettide/core/freshnessgate.h"
 
@@ -18,14 +18,14 @@
     return found == snapshot.members.end() ? nullptr : &*found;
 }
 
-// The one upstream that the snapshot's term belongs to. It holds every entry that
+// The only upstream that is the primary of the snapshot's term. It holds every entry that
 // was ever acknowledged under this term or a lower one.
 bool isPrimary(const GroupSnapshot &snapshot, const MemberView &member)
 {
     return member.upstream == snapshot.primary && member.followingTerm == snapshot.term;
 }
 
-// What a wait for the reason has to replay up to.
+// The mark that a member has to replay before `reason` no longer applies.
 LogMark wantedMark(const FreshnessRequest &request, const GroupSnapshot &snapshot, FreshnessReason reason)
 {
     if (reason == FreshnessReason::Floor && request.freshness.floor) {
@@ -81,8 +81,8 @@
     return Serve{member->replayed, std::nullopt};
 }
 
-// A watermark that was taken since the accepted age covers all that the read has to
-// see, so an upstream whose log holds it is fresh enough, whatever it follows.
+// A watermark that is younger than the accepted age covers everything that the read has to
+// see. An upstream whose log holds it is fresh enough, whatever term it follows.
 GateDecision FreshnessGate::decideByMark(const DecisionInputs &inputs) const
 {
     const Freshness &wanted = inputs.request.freshness;
@@ -97,7 +97,7 @@
         }
     }
     if (wanted.maxAge || wanted.latest) {
-        // Later, not at the same moment; see confirmedSince.
+        // Strictly later; see confirmedSince.
         const TimePoint oldest =
             wanted.latest ? inputs.request.receivedAt + Clock::duration{1} : inputs.now + m_options.sendMargin - *wanted.maxAge;
         const auto mark = markOfAge(inputs, oldest);
@@ -109,7 +109,7 @@
     return serve;
 }
 
-// The lowest mark that is recent enough: most replicas hold it.
+// The lowest mark that is recent enough, since most replicas hold it.
 std::optional<LogMark> FreshnessGate::markOfAge(const DecisionInputs &inputs, TimePoint oldest)
 {
     for (const Watermark &watermark : inputs.snapshot.watermarks) {
@@ -120,10 +120,10 @@
     return std::nullopt;
 }
 
-// What goes wrong with a floor of an earlier term: the change of primary may have
-// given that entry up, no log will ever hold it, and every read of the session is
-// refused. Any mark taken under the present term covers all of an earlier term that
-// is still there.
+// A floor of an earlier term is replaced by the newest mark of the current term, which
+// covers all remaining entries of earlier terms. The change of the primary may have
+// discarded the entry of the floor; no log would ever hold it, and every read of the
+// session would be refused.
 std::optional<LogMark> FreshnessGate::markOfFloor(const DecisionInputs &inputs)
 {
     const LogMark floor = *inputs.request.freshness.floor;
@@ -159,9 +159,9 @@
     return ageObstacle(inputs);
 }
 
-// What goes wrong otherwise: an upstream that still follows a replaced primary, or
-// has not been told whom to follow, may show entries that the group gave up. Its
-// reader would see a booking appear and vanish.
+// An upstream that still follows a replaced primary, or has not yet received an order to
+// follow, may show entries that the group has discarded. A reader would see a write appear
+// and disappear.
 bool FreshnessGate::follows(const DecisionInputs &inputs) const
 {
     return inputs.snapshot.term != 0 && inputs.member.followingTerm == inputs.snapshot.term;
@@ -172,8 +172,8 @@
     return inputs.member.replayed >= mark || (isPrimary(inputs.snapshot, inputs.member) && mark.term <= inputs.snapshot.term);
 }
 
-// The primary of a term holds every acknowledged entry up to that term, so a probe
-// that is older than the session's last write need not hold up the read behind it.
+// The primary of a term holds every acknowledged entry up to that term, so a probe that is
+// older than the session's last write does not have to delay the read after it.
 bool FreshnessGate::floorHolds(LogMark floor, const DecisionInputs &inputs) const
 {
     if (!m_options.checks.floorTerm) {
@@ -182,10 +182,10 @@
     return shows(floor, inputs);
 }
 
-// A floor above a mark confirmed after the floor was fixed names entries that the
-// group does not have: forged, or from before a restored backup. An honest floor
-// never exceeds such a mark, so the confirmed mark is as good, and a bogus floor
-// cannot make a read wait for ever.
+// A floor above a mark that was confirmed after the floor was fixed names entries that the
+// group does not have: it is forged, or from before a backup was restored. A valid floor
+// never exceeds such a mark, so the confirmed mark is sufficient, and an invalid floor
+// cannot block a read indefinitely.
 std::optional<FreshnessReason> FreshnessGate::floorObstacle(const DecisionInputs &inputs) const
 {
     const auto &floor = inputs.request.freshness.floor;
@@ -199,8 +199,8 @@
     return FreshnessReason::Floor;
 }
 
-// Later, not at the same moment: a round and a receipt that read the clock alike may
-// have come in either order, and a write acknowledged between them would be missed.
+// Strictly later: a round and a receipt with equal clock readings may have happened in
+// either order, and a write acknowledged between them would be missed.
 bool FreshnessGate::confirmedSince(TimePoint since, const DecisionInputs &inputs) const
 {
     if (!m_options.checks.confirmation && isPrimary(inputs.snapshot, inputs.member)) {
@@ -253,10 +253,10 @@
     return std::chrono::ceil<milliseconds>(now - newest->sentAt);
 }
 
-// What goes wrong without the wait for a member of which nothing is known yet: a home has
-// just been taken, by a host that has just started, or since the upstream itself has, and
-// its first look at the group is under way. A read that comes meanwhile is refused as if the
-// upstream could not be reached, by one home after the other.
+// Waits for the first status of a member whose state is not known yet: its home was just
+// taken over, this host or the upstream itself has just started, and the first probe is
+// outstanding. Without the wait, a read that arrives in that time would be refused as
+// unreachable by one home after the other.
 GateDecision FreshnessGate::awaitFirstStatus(const DecisionInputs &inputs) const
 {
     const TimePoint budget = std::min(inputs.request.deadline, inputs.request.replicaWaitUntil);
@@ -285,8 +285,9 @@
     return WaitUntil{std::min(budget, std::max(soon, inputs.now + milliseconds{1})), reason};
 }
 
-// The moment at which the observer will probably know that the member has caught
-// up. An unknown replay rate counts as fast: the budget bounds the mistake.
+// The time at which the observer is expected to know that the member has caught up. An
+// unknown replay rate counts as fast, since the budget limits the cost of a wrong
+// prediction.
 TimePoint FreshnessGate::predictedReady(const DecisionInputs &inputs, FreshnessReason reason) const
 {
     using Seconds = std::chrono::duration<double>;
@@ -298,7 +299,7 @@
         return nextKnown;
     }
     const Seconds needed(static_cast<double>(wanted - replayed) / rate);
-    // A bogus floor may be further away than any clock counts.
+    // An invalid floor may be too far away for the clock's range.
     const Seconds bounded = std::min(needed, Seconds(std::chrono::hours(1)));
     const TimePoint caughtUp = inputs.member.observedAt + std::chrono::duration_cast<Clock::duration>(bounded);
     return std::max(nextKnown, caughtUp);
--- a/src/core/group/groupmonitor.cpp
+++ b/src/core/group/groupmonitor.cpp
@@ -1,5 +1,5 @@
-// Members, rounds, and what their answers tell. What answers prove is in
-// groupmonitorproof.cpp, whom a round asks in groupmonitorasking.cpp.
+// Members, rounds and the state derived from their answers. What answers prove is in
+// groupmonitorproof.cpp, which members a round probes is in groupmonitorasking.cpp.
 
 #include "egrettide/core/groupmonitor.h"
 
@@ -101,7 +101,7 @@
     if (!answering) {
         return;
     }
-    // Promises and terms only rise, so even an ancient answer may teach them.
+    // Promises and terms only rise, so even a very late answer may raise them.
     answering->promised = std::max(answering->promised, status.promisedTerm);
     m_highestPromised = std::max(m_highestPromised, status.promisedTerm);
     const auto found = m_rounds.find(id);
@@ -127,7 +127,7 @@
         return;
     }
     failing->detector.onFailure(failure, now);
-    // Silence is judged by the detector, and room for a probe may come.
+    // Silence is judged by the detector, and a busy member may accept a later probe.
     failing->judged = failing->judged || failure == ProbeFailure::Refused || failure == ProbeFailure::Reset;
     failing->reachable = failing->reachable && !failing->detector.suspects(now);
     finishProbe(id);
@@ -161,10 +161,9 @@
     if (m_options.faults.trustAfterClockGap) {
         return;
     }
-    // What goes wrong otherwise: the clock may not have counted the gap, so a
-    // watermark from before it looks younger than it is, and a round that was
-    // open over it dates its proof to a moment long past. A read would be served
-    // data older than it accepts, and nobody would notice.
+    // The clock may not have counted the gap. A watermark from before it, and the proof of
+    // a round that was open during it, would then appear younger than they are, and a read
+    // would return older data than it accepts, without any sign of it.
     m_watermarks.clear();
     m_rounds.clear();
     m_confirmed = false;
@@ -238,7 +237,7 @@
 bool GroupMonitor::agrees(std::string_view primary, Term term, TimePoint now) const
 {
     if (m_term > term) {
-        return false; // the asker does not know of a later primary
+        return false; // the asking home has not seen a later primary
     }
     if (m_primary.empty()) {
         return m_noPrimarySince.has_value();
@@ -290,8 +289,8 @@
     return true;
 }
 
-// Counts one ended probe of the round and closes the round after the last one. A
-// closed round that proved nothing means that the primary is not confirmed now.
+// Counts one ended probe of the round and closes the round after the last one. A conclusive
+// round that closes without a proof means that the primary is not confirmed at present.
 void GroupMonitor::finishProbe(RoundId id)
 {
     const auto found = m_rounds.find(id);
@@ -353,8 +352,8 @@
     member.rateSample = status.replayed.position;
 }
 
-// A primary of a higher term proves that a majority promised that term, so every
-// lower one is replaced, confirmed or not.
+// A primary of a higher term proves that a majority promised that term, so every lower term
+// is over, whether the primary is confirmed or not.
 void GroupMonitor::updateTerm(const MemberStatus &status, RoundId id, TimePoint now)
 {
     const bool newest = member(status.upstream)->statusRound <= id;
@@ -403,9 +402,9 @@
     return static_cast<std::size_t>(above) >= majority();
 }
 
-// What goes wrong: promotions that die half-way leave each member with a promise of
-// its own. The primary answers, so nobody suspects it, but no write is confirmed
-// any more. It shows as a majority that answers and none that stands by the term.
+// Aborted promotions can leave each member with a different promise. The primary still
+// answers, so no home suspects it, but no write is confirmed any more. This state is
+// detected as a majority that answers while no majority stands by the term.
 bool GroupMonitor::split() const
 {
     std::size_t answering = 0;
--- a/src/core/group/groupmonitorasking.cpp
+++ b/src/core/group/groupmonitorasking.cpp
@@ -1,4 +1,4 @@
-// Whom a round asks, and when the next one is due.
+// Which members a round probes, and when the next round is due.
 
 #include "egrettide/core/groupmonitor.h"
 
@@ -23,14 +23,14 @@
     if (m_options.asksOnlySilent && !primary) {
         return nextSearchAt(now);
     }
-    // A round without the primary proves nothing, so it is not worth hurrying.
+    // A round without the primary proves nothing, so it is not accelerated.
     const bool trouble = m_troubleAt && *m_troubleAt >= *m_lastRoundAt;
     if ((waitersPresent || trouble) && !(primary && saturated(*primary))) {
         return *m_lastRoundAt + m_options.busyInterval;
     }
     const bool refusing = primary && primary->detector.refusing() && !primary->detector.refused();
-    const bool hurry = refusing || (!m_confirmed && now < m_urgentUntil);
-    return *m_lastRoundAt + (hurry ? std::min(m_options.hurryInterval, m_options.idleInterval) : m_options.idleInterval);
+    const bool urgent = refusing || (!m_confirmed && now < m_urgentUntil);
+    return *m_lastRoundAt + (urgent ? std::min(m_options.hurryInterval, m_options.idleInterval) : m_options.idleInterval);
 }
 
 TimePoint GroupMonitor::nextSearchAt(TimePoint now) const
@@ -39,8 +39,8 @@
     if (trouble) {
         return *m_lastRoundAt + m_options.busyInterval;
     }
-    const bool lately = now < m_urgentUntil;
-    return *m_lastRoundAt + (lately ? std::min(m_options.searchInterval, m_options.idleInterval) : m_options.idleInterval);
+    const bool recentlyLost = now < m_urgentUntil;
+    return *m_lastRoundAt + (recentlyLost ? std::min(m_options.searchInterval, m_options.idleInterval) : m_options.idleInterval);
 }
 
 bool GroupMonitor::isHurried(TimePoint now) const
@@ -51,7 +51,7 @@
     return refusing || trouble || (!m_confirmed && now < m_urgentUntil);
 }
 
-// How long a member may be silent before it is asked.
+// How long a member may go without an answer before it is probed.
 milliseconds GroupMonitor::intervalOf(const Member &member, TimePoint now) const
 {
     if (member.spec.upstream == m_primary && isHurried(now)) {
--- a/src/core/group/groupmonitorproof.cpp
+++ b/src/core/group/groupmonitorproof.cpp
@@ -1,4 +1,4 @@
-// What answers prove: that the primary leads, and the marks up to which its log is known.
+// What answers prove: that the primary leads, and up to which marks its log is known.
 
 #include "egrettide/core/groupmonitor.h"
 
@@ -10,15 +10,15 @@
 namespace
 {
 
-// A watermark goes when its neighbours lie closer together than this part of
-// their age: ages are then judged at most that much too old.
+// A watermark is dropped when its neighbours lie closer together than this fraction of
+// their age, so an age is overestimated by at most this fraction.
 constexpr int thinningShare = 8;
-// Always kept apart, so that the newest ones are exact.
+// The minimum spacing of watermarks; small, so that the newest ones are exact.
 constexpr milliseconds watermarkSpacing{2};
 
 } // namespace
 
-// A primary that has promised nothing above its own term.
+// A primary that has promised no term above its own.
 bool GroupMonitor::leads(const MemberStatus &status)
 {
     return status.role == UpstreamRole::Primary && status.promisedTerm == status.followingTerm;
@@ -44,7 +44,7 @@
         answering->lastAnswerSentAt = proof.sentAt;
         addWatermark({proof.sentAt, proof.status.received});
         m_confirmed = true;
-        // What rounds from before could not prove is proven now.
+        // Earlier rounds without a proof must not withdraw this confirmation.
         m_provenRound = std::max(m_provenRound, m_lastRound);
         m_urgentUntil = std::min(m_urgentUntil, now);
     }
@@ -85,8 +85,8 @@
     }
 }
 
-// Keeps the list sorted and free of proofs that another one implies: the same or
-// a lower mark at a later time says all that an earlier time says.
+// Keeps the list sorted and free of redundant proofs: the same or a lower mark at a later
+// time implies the proof of an earlier time.
 void GroupMonitor::addWatermark(const Watermark &watermark)
 {
     const bool implied = std::ranges::any_of(
@@ -101,8 +101,8 @@
     thinWatermarks();
 }
 
-// Bounds the list: kept neighbours lie apart by a share of their age, so their
-// number grows with the logarithm of the span only.
+// Bounds the list: the distance of neighbours is proportional to their age, so their number
+// grows only with the logarithm of the span.
 void GroupMonitor::thinWatermarks()
 {
     const TimePoint newest = m_watermarks.back().sentAt;
--- a/src/core/group/promoter.cpp
+++ b/src/core/group/promoter.cpp
@@ -1,4 +1,4 @@
-// The steps of a promotion, each guarded by the attempt it belongs to.
+// The steps of a promotion; each checks that the event belongs to the running attempt.
 
 #include "egrettide/core/promoter.h"
 
@@ -13,12 +13,12 @@
 namespace
 {
 
-// A term whose candidate fell silent is followed by the next one at once, without
-// new opinions; after this many the attempt ends and a backoff begins.
+// A term whose candidate did not answer is followed immediately by the next term, without
+// new opinions; after this many retries the attempt ends and a backoff begins.
 constexpr std::size_t retryLimit = 2;
-// After a success the monitor needs a round or two to see the new primary.
+// After a promotion the monitor needs one or two rounds to see the new primary.
 constexpr milliseconds settleTime{100};
-// Backoffs stop doubling here; the ceiling is reached earlier.
+// The backoff stops doubling here; it reaches its ceiling earlier.
 constexpr std::size_t doublingLimit = 10;
 
 void append(PromoterActions &actions, PromoterActions more)
@@ -52,8 +52,8 @@
 PromoterActions Promoter::startPlanned(const std::string &preferred, Term highestPromised, TimePoint now)
 {
     if (running()) {
-        // Writes are paused for this change; it must not wait for an attempt that
-        // was started for another reason.
+        // Writes are paused for this change, so it must not wait for an attempt that was
+        // started for another reason.
         return {GiveUp{0, GiveUpReason::ClaimedElsewhere, now}};
     }
     beginAttempt(highestPromised, now);
@@ -63,8 +63,8 @@
         m_suspicion.term = highestPromised;
         return startClaim(now);
     }
-    // The claim would only cost time while writes are paused: a planned change
-    // that meets another promoter loses to it harmlessly.
+    // A claim would only prolong the pause of writes: a planned change that meets another
+    // promoter loses to it without harm.
     return beginFence(now);
 }
 
@@ -106,8 +106,8 @@
     case ClaimResult::Conflict:
         return evaluateRecord(answer.current, now);
     case ClaimResult::LostAnswer:
-        // The claim may stand. Taking it for lost would make this promoter wait
-        // for its own claim; reading it back tells by the token.
+        // The claim may have been written. If it were taken for lost, this promoter would
+        // wait for its own claim, so the record is read back and identified by its token.
         m_phase = Phase::ReadingBack;
         return {ReadRecord{m_attempt}};
     case ClaimResult::Unavailable:
@@ -152,7 +152,7 @@
         return giveUp(GiveUpReason::Outbid, now);
     }
     if (m_options.promoteBy == PromoteBy::ThirdParty) {
-        // Accepted; the group will show it.
+        // The order is accepted; its completion will be visible in the state of the group.
         m_phaseDeadline = now + m_options.promoteTimeout;
         return {};
     }
@@ -184,16 +184,16 @@
     PromoterActions actions;
     const bool promoted = m_phase == Phase::Promoting && snapshot.term == m_term && snapshot.primary == m_candidate;
     if (promoted) {
-        actions = succeed(now); // only the answer was lost
+        actions = succeed(now); // only the answer to the order was lost
     } else if (const auto reason = running() ? overtaken(snapshot) : std::nullopt) {
         actions = giveUp(*reason, now);
     }
     const bool newPrimary = !snapshot.primary.empty() && snapshot.term > m_suspicion.term;
     m_unfinished = m_unfinished && !newPrimary;
-    // The primary need not be confirmed: it may lack a majority only because the
-    // members that would make one have not been told to follow it yet, and if the
-    // promoter that made it is gone, nobody else tells them. A primary of a term
-    // exists only after a majority promised that term, so following it is safe.
+    // The primary does not have to be confirmed: it may lack a majority only because
+    // members have not yet been ordered to follow it, and if the promoter that promoted it
+    // is gone, no other component orders them. A primary of a term exists only after a
+    // majority promised that term, so following it is safe.
     const bool responsible = m_homes.contains(snapshot.primary) || snapshot.primary == m_leader;
     if (snapshot.primary.empty() || !responsible || snapshot.term < m_leaderTerm) {
         return actions;
@@ -227,9 +227,9 @@
 
 PromoterActions Promoter::onClockGap(TimePoint now)
 {
-    // A promoter that was paused would go on where it stood. The members would
-    // refuse it, but it would still disturb: claims and announcements of a past
-    // promotion, orders to follow a past primary.
+    // Without this reset, a promoter that was suspended would continue its old attempt. The
+    // members would refuse it, but it would still cause disturbance: claims and
+    // announcements of a past promotion, and orders to follow a past primary.
     m_record.reset();
     m_foreignClaim.reset();
     m_orders.clear();
@@ -293,10 +293,11 @@
     return m_promises;
 }
 
-// What goes wrong when leaving members count where a fencing token keeps the group safe: an
-// upstream that is released and the one that replaces it stand in the same zone. While that
-// zone is cut off, two of four members can't be asked, three would be a majority, and the
-// group stands without a primary until the released one is gone: 5.5 s instead of 1.5.
+// Where a fencing token keeps the group safe, leaving members do not count. An upstream
+// that is being removed and its replacement are in the same zone. If the leaving one
+// counted and that zone were cut off, two of four members would be unreachable and a
+// majority of three out of reach, so the group would have no primary until the removed one
+// is gone: 5.5 s instead of 1.5 s.
 std::size_t Promoter::majority() const
 {
     if (m_options.promoteBy == PromoteBy::Member) {
@@ -317,11 +318,10 @@
     m_suspectedUntil = now + suspicionSpacing;
 }
 
-// What goes wrong with the majority's opinion alone: a primary that is cut off from
-// its own zone only is well in the eyes of all other homes, yet no write reaches it,
-// since writes go through its home in that zone. So that home needs less: answers of
-// a majority of homes, which show that it is not the one that is cut off, and more
-// patience, since it judges alone.
+// Writes go only through the primary's own home. If the network separates the primary from
+// its own zone only, the other homes consider it healthy, but no write reaches it. Its home
+// therefore needs no agreement, only answers of a majority of homes, which show that it is
+// not cut off itself, and a longer suspicion, since it decides alone.
 bool Promoter::majorityAgrees(TimePoint now) const
 {
     const bool ownPrimary = m_homes.contains(m_suspicion.primary);
@@ -366,10 +366,10 @@
     newToken(now);
 }
 
-// Numbers the next attempt and names it. A token names one attempt of one start of
-// one host: were it shared, a member's promise to one promoter would count for
-// another, and one term could get two primaries. The time keeps apart the attempts
-// of two promoters that one process makes for the same home, one after the other.
+// Numbers the next attempt and creates its token. A token identifies one attempt of one
+// start of one host: if it were shared, a member's promise to one promoter would count for
+// another, and one term could get two primaries. The time distinguishes attempts of two
+// promoters that one process creates for the same home, one after the other.
 void Promoter::newToken(TimePoint now)
 {
     ++m_attempt;
@@ -409,14 +409,14 @@
         return beginFence(now);
     }
     if (foreignClaimStands(current, now)) {
-        m_record.reset(); // read it anew at the next attempt
+        m_record.reset(); // read again by the next attempt
         return giveUp(GiveUpReason::ClaimedElsewhere, now);
     }
     return claim(current.version);
 }
 
-// A claim has no expiry date, since clocks are not compared: it is respected until
-// it has stood unchanged for a while on this host's own clock.
+// A claim has no expiry time, since clocks of hosts are not compared: it is respected until
+// it has been unchanged for the foreign claim timeout on this host's own clock.
 bool Promoter::foreignClaimStands(const VersionedRecord &current, TimePoint now)
 {
     const GroupRecord &record = current.record;
@@ -478,9 +478,10 @@
     return settled(now) ? sendPromote(now) : PromoterActions{};
 }
 
-// Whether another promoter has the members that would make a majority. Neither the
-// suspected primary nor failed members are waited for then: two promoters that hold
-// one promise each of a group with a dead primary would both wait out their time.
+// Whether a majority is out of reach because members promised to another promoter. Neither
+// the suspected primary nor failed members are waited for then: otherwise two promoters
+// that hold one promise each in a group with a failed primary would both wait until their
+// timeout.
 bool Promoter::outbid() const
 {
     if (m_refusing.empty()) {
@@ -494,8 +495,8 @@
     return static_cast<std::size_t>(hoped) < majority();
 }
 
-// Whether waiting for more promises is over. The majority is enough for every
-// acknowledged write; a member that is still missing may hold later ones.
+// Whether to stop waiting for more promises. A majority is sufficient to find every
+// acknowledged write; a missing member may hold later ones.
 bool Promoter::settled(TimePoint now) const
 {
     if (now >= *m_graceUntil || m_options.faults.withoutMajority) {
@@ -530,7 +531,8 @@
     const auto rank = [this](const MemberStatus &status) {
         const bool preferred = status.upstream == m_preferred;
         const bool staying = !isLeaving(status.upstream);
-        // On a tie the former primary keeps its connections and callers.
+        // On a tie the former primary is preferred, which keeps its connections and
+        // callers.
         const bool incumbent = status.upstream == m_suspicion.primary || status.role != UpstreamRole::Replica;
         return std::tuple(status.received, preferred, staying, incumbent, status.replayed);
     };
@@ -555,17 +557,18 @@
     return {SendPromote{m_attempt, m_candidate, m_term, m_token, m_record ? m_record->version : 0}};
 }
 
-// What goes wrong with a second candidate in the same term: the first one may have
-// been promoted and only its answer lost, or the order may still be under way. Both
-// would lead the same term, and their writes could not be told apart. A new term
-// costs one round of fences and makes the first one's promotion void.
+// A second candidate is never promoted in the same term. The first one may have been
+// promoted with its answer lost, or the order may still be on its way; both would lead the
+// same term, and their writes could not be told apart. A new term costs one round of fences
+// and invalidates the first promotion.
 PromoterActions Promoter::candidateLost(TimePoint now)
 {
     if (m_options.faults.secondCandidateSameTerm) {
         m_promises.erase(m_candidate);
         return sendPromote(now);
     }
-    // A second order under the same fencing token could be overtaken by the first.
+    // With a third party, a second order under the same fencing token could be overtaken by
+    // the first.
     if (m_retries >= retryLimit || m_options.promoteBy == PromoteBy::ThirdParty) {
         m_record.reset();
         return giveUp(GiveUpReason::PromotionUnanswered, now);
@@ -609,9 +612,9 @@
     return {GiveUp{m_attempt, reason, m_backoffUntil}};
 }
 
-// Drawn from the upper half of a span that doubles with every attempt that touched
-// the members: two promoters that fenced each other out differ soon enough for one
-// to finish undisturbed. Attempts that touched nobody disturb nobody.
+// Drawn from the upper half of a span that doubles with every attempt that reached the
+// members: two promoters that outbid each other soon wait long enough apart for one to
+// finish undisturbed. Attempts that sent no fences do not increase it.
 milliseconds Promoter::backoff(GiveUpReason reason)
 {
     const bool disturbed =
@@ -625,7 +628,7 @@
     return milliseconds(draw(m_random));
 }
 
-// The homes' answers are needed; the store's are not.
+// The answers of the homes are required; those of the store are optional.
 PromoterActions Promoter::onPhaseDeadline(TimePoint now)
 {
     if (m_phase == Phase::AskingOpinions) {
@@ -661,7 +664,7 @@
     return {SendPromote{m_attempt, m_candidate, m_term, m_token, m_record ? m_record->version : 0}};
 }
 
-// Whether the view makes the running attempt pointless.
+// Whether the monitor's view makes the running attempt obsolete.
 std::optional<GiveUpReason> Promoter::overtaken(const GroupSnapshot &snapshot) const
 {
     if (m_phase == Phase::Fencing || m_phase == Phase::Promoting) {
@@ -702,7 +705,7 @@
     } else if (!m_strandedSince) {
         m_strandedSince = now;
     }
-    // A third party keeps no promises that could stand in the way of its orders.
+    // A third party keeps no promises, so none can block its orders.
     m_renewal =
         m_options.promoteBy == PromoteBy::Member && m_strandedSince && now - *m_strandedSince >= m_options.strandedPatience;
 }
--- a/src/core/group/switchover.cpp
+++ b/src/core/group/switchover.cpp
@@ -1,4 +1,4 @@
-// The steps of a planned change of primary.
+// The steps of a planned change of the primary.
 
 #include "egrettide/core/switchover.h"
 
@@ -78,8 +78,8 @@
     if (m_phase != Phase::CatchingUp) {
         return {};
     }
-    // Writes have ended, so the first mark proven by a round that began after the
-    // end is the last one of the term.
+    // Writes have ended, so the first mark proven by a round that began afterwards is the
+    // last one of the term.
     if (!m_target && !snapshot.watermarks.empty() && snapshot.watermarks.back().sentAt >= m_drainedAt) {
         m_target = snapshot.watermarks.back().mark;
     }
@@ -156,8 +156,8 @@
     m_deadline = now + m_options.catchUpTimeout;
 }
 
-// Ends the change and lets writes go the ordinary way: to the old primary while it
-// leads, else into the queue that every loss of a primary fills.
+// Ends the change and resumes writes as usual: they go to the old primary while it leads,
+// otherwise into the queue that is used whenever the primary is lost.
 SwitchoverActions Switchover::abort(SwitchoverFailure failure)
 {
     m_phase = Phase::Idle;
