--- a/testing/support/fakegroup.h
+++ b/testing/support/fakegroup.h
@@ -1,8 +1,7 @@
-// A tiny model of one database group and of the store's record about it, for
-// tests of the decisions: members with promises, terms, logs and asynchronous
-// replication, and the three control functions as architecture.md fixes them.
-// Everything happens at the moment of the call; delays, losses and cuts are the
-// business of whoever calls (groupworld.h).
+// A small model of one database group and of the store's record about it, for tests of the
+// decision logic: members with promises, terms, logs and asynchronous replication, and the
+// three control functions as defined in architecture.md. Every call takes effect
+// immediately; the caller (groupworld.h) adds delays, losses and cuts.
 
 #pragma once
 
@@ -32,10 +31,10 @@
     Term promisedTerm = 0;
     std::string promisedTo;
     Term followingTerm = 0;
-    // The primary that it copies from; empty for a primary.
+    // The primary that it replicates from; empty for a primary.
     std::string leader;
     std::vector<LogEntry> log;
-    // How much of the log its reads can see.
+    // The number of log entries that its reads can see.
     std::size_t replayed = 0;
     bool alive = true;
     bool frozen = false;
@@ -100,7 +99,7 @@
         return {true, status()};
     }
 
-    // Appends a write; refused by anything but a primary.
+    // Appends a write; refused by a member that is not a primary.
     std::optional<MemberStatus> write(std::uint64_t id)
     {
         if (role != UpstreamRole::Primary) {
@@ -116,7 +115,8 @@
         return mark.position <= log.size() && log[mark.position - 1] == LogEntry{mark.term, write};
     }
 
-    // Copies up to `entries` from `source`, dropping first what it does not have.
+    // Copies up to `entries` entries from `source`, after dropping entries that `source`
+    // does not have.
     void copyFrom(const FakeMember &source, std::size_t entries)
     {
         if (source.role != UpstreamRole::Primary || source.followingTerm != followingTerm) {
--- a/testing/support/groupworld.h
+++ b/testing/support/groupworld.h
@@ -1,7 +1,7 @@
-// Homes, members, store and the links between them under one seeded schedule of
-// faults. It drives the real GroupMonitor, CommitGate, Promoter and Switchover
-// against FakeMember and checks, at every step that could break it, what must
-// always hold. One world is one schedule: same seed, same run.
+// Simulates homes, members, the store and the links between them under one seeded schedule
+// of faults. It runs the real GroupMonitor, CommitGate, Promoter and Switchover against
+// FakeMember and checks the invariants at every step that could violate them. One world is
+// one schedule: the same seed gives the same run.
 
 #pragma once
 
@@ -29,49 +29,49 @@
 
 using std::chrono::microseconds;
 
-// Which faults a schedule may hold, and which mechanisms are switched off.
+// The faults that a schedule may contain, and the mechanisms that are switched off.
 struct WorldOptions {
     std::uint64_t seed = 0;
     std::size_t members = 3;
-    // Faults in one schedule, at most; none means a steady run.
+    // The maximum number of faults in one schedule; 0 gives a steady run.
     std::size_t faults = 6;
     microseconds faultSpan{800'000};
-    // How long after the last fault is healed writes must be confirmed again.
+    // The time after healing all faults within which writes must be confirmed again.
     microseconds recoverySpan{6'000'000};
     microseconds writeSpacing{12'000};
-    // The longest ordinary delay of a message one way.
+    // The maximum ordinary one-way delay of a message, beyond a base of 300 us.
     microseconds jitter{1500};
-    // One in so many messages is lost or doubled, or delayed for long; 0: none.
+    // One in this many messages is lost, duplicated or delayed for long; 0: none.
     std::uint64_t lossOneIn = 80;
     std::uint64_t duplicateOneIn = 40;
     std::uint64_t delayOneIn = 60;
     microseconds longDelay{120'000};
-    // Whether a member that promised a higher term goes on copying.
+    // Whether a member that promised a higher term continues to replicate.
     bool fencedKeepsCopying = true;
-    // One in so many promotions meets a fault of its candidate or its answers at
-    // that very moment, and one in so many fences a pause of the promoter: most
-    // of what can go wrong needs bad luck in a window of milliseconds.
+    // One in this many promotions coincides with a fault of its candidate or the loss of
+    // its answers, and one in this many fences with a pause of the promoter: most failures
+    // need a fault within a window of milliseconds.
     std::uint64_t ambushPromotionOneIn = 4;
     std::uint64_t ambushFenceOneIn = 40;
-    // The store is out for the whole schedule.
+    // The store is unavailable for the whole schedule.
     bool storeOut = false;
-    // Share of planned changes among the faults, in percent.
+    // The share of planned changes among the faults, in percent.
     std::uint64_t plannedPercent = 15;
     bool planned = false; // planned changes only, no faults
-    // Only the home of the primary writes, as in production; otherwise any home
-    // writes to whatever it takes for the primary, which is harder on the rules.
+    // Only the home of the primary writes, as in production; otherwise every home writes to
+    // the member that it considers the primary, which exercises more error cases.
     bool writesAtHomeOnly = false;
     Durability durability = Durability::Majority;
-    // When the first primary's home loses its link to it, and nothing else; 0: never.
+    // When only the link between the first primary and its home fails; 0: never.
     microseconds ownHomeCutAt{0};
-    bool naive = false; // the naive home instead of egrettide's decisions
+    bool naive = false; // a simple lease-based home instead of egrettide's decisions
     GroupMonitorOptions monitor;
     PromoterOptions promoter;
     CommitGateFaults gate;
 };
 
-// Settings that make time pass faster than in production, so that one schedule is
-// a second or two of model time. Their proportions are those of the defaults.
+// Settings with shorter times than in production, so that one schedule takes one or two
+// seconds of model time. Their proportions are those of the defaults.
 inline WorldOptions quickWorld(std::uint64_t seed)
 {
     WorldOptions options;
@@ -152,8 +152,8 @@
         return m_violation;
     }
 
-    // Adds the death of the primary to the schedule; `refuses` says whether its
-    // host still answers that nothing listens.
+    // Adds a crash of the primary to the schedule; `refuses` says whether its host still
+    // refuses connections.
     void planPrimaryDeath(microseconds when, microseconds length, bool refuses)
     {
         at(when, [this, length, refuses] {
@@ -162,7 +162,7 @@
         });
     }
 
-    // What happened, for tests that look at more than violations.
+    // Statistics of the run, for tests that check more than violations.
     std::size_t acknowledged() const
     {
         return m_acks.size();
@@ -222,12 +222,12 @@
         std::unique_ptr<Promoter> promoter;
         std::unique_ptr<Switchover> switchover;
         std::map<RoundId, TimePoint> roundSentAt;
-        // Rises with every restart: messages for an earlier life are dropped.
+        // Rises with every restart; messages to an earlier incarnation are dropped.
         std::uint64_t incarnation = 0;
         bool paused = false;
         bool clockStopped = false;
         microseconds pausedAt{0};
-        // Time that its own clock has not counted.
+        // Time that its own clock did not count.
         microseconds lostTime{0};
         std::deque<std::function<void()>> deferred;
         std::size_t openWrites = 0;
@@ -236,7 +236,7 @@
         microseconds nextWriteAt{0};
         // Writes of this home by id, until resolved.
         std::map<std::uint64_t, LogMark> writes;
-        // The naive home's own idea.
+        // The state of the naive home.
         std::string naivePrimary = "a";
         Term naiveTerm = 1;
         microseconds naiveLastAnswer{0};
@@ -246,11 +246,11 @@
         microseconds at{0};
         LogMark mark;
         std::uint64_t write = 0;
-        // Missing from a later primary: a violation, or the trade of PrimaryOnly.
+        // Missing from a later primary: a violation, or accepted under PrimaryOnly.
         bool lost = false;
     };
 
-    // --- time, links and chance -------------------------------------------
+    // --- time, links and randomness ---------------------------------------
 
     std::uint64_t below(std::uint64_t bound)
     {
@@ -282,7 +282,7 @@
         return usual + spike + rare;
     }
 
-    // Carries a message over a link that may lose it, double it or delay it.
+    // Carries a message over a link that may lose, duplicate or delay it.
     void carry(bool cut, std::function<void()> deliver)
     {
         if (cut || oneIn(m_options.lossOneIn)) {
@@ -314,7 +314,8 @@
         return TimePoint(m_now - m_homes[home]->lostTime);
     }
 
-    // Lets a home act, now or when it wakes, unless it has been restarted since.
+    // Runs `act` at a home, immediately or when it resumes, unless the home has been
+    // restarted since.
     template <typename Act> void atHome(std::size_t index, std::uint64_t incarnation, Act act)
     {
         Home &home = *m_homes[index];
@@ -330,8 +331,8 @@
 
     using Operation = std::function<void(FakeMember &)>;
 
-    // One request of a home to a member: `operation` runs there when it arrives,
-    // then `answered` at the home; or `refused` when nothing listens there.
+    // One request of a home to a member: `operation` runs at the member when the request
+    // arrives, then `answered` at the home, or `refused` when the member is down.
     template <typename Answer> struct Request {
         std::size_t home = 0;
         std::uint64_t incarnation = 0;
@@ -404,8 +405,8 @@
         note("promoted " + primary.name + " in term " + std::to_string(primary.followingTerm));
         m_logsAtPromotion[primary.followingTerm] = primary.log;
         m_promotedAt[primary.followingTerm] = m_now;
-        // A late order may still make a primary of a term that is already over; it
-        // owes nothing to the terms after its own.
+        // A late order may still promote a primary of a term that is already over; it does
+        // not have to hold writes of later terms.
         for (Ack &ack : m_acks) {
             if (ack.mark.term < primary.followingTerm && !primary.holds(ack.mark, ack.write)) {
                 ++m_lostAcks;
@@ -442,7 +443,7 @@
             index, indexOf(target), [this, id](FakeMember &member) { return write(member, id); },
             [=, this](const Answer &answer) {
                 if (!*open) {
-                    return; // a doubled message, or the request was given up
+                    return; // a duplicated message, or the request has timed out
                 }
                 closed();
                 if (answer) {
@@ -495,8 +496,8 @@
 
     void acknowledge(std::size_t index, std::uint64_t id)
     {
-        // The write's own place: the mark of its answer is at or after it, and in
-        // this model exactly at it, since the status is taken with the write.
+        // The position of the write itself: in this model the mark of its answer is exact,
+        // since the status is taken together with the write.
         const LogMark mark = m_homes[index]->writes[id];
         m_acks.push_back({m_now, mark, id, false});
         if (m_acks.size() > 1) {
@@ -520,8 +521,8 @@
         }
     }
 
-    // Majority durability is checked by contents. For PrimaryOnly the rule is that
-    // the term had not ended when the write was made.
+    // Majority durability is checked by the contents of the logs. For PrimaryOnly the rule
+    // is that the term had not ended when the write was made.
     void checkNotReplaced(const LogMark &mark, Term later)
     {
         const auto began = m_promotedAt.find(later);
@@ -792,11 +793,11 @@
         }
     }
 
-    // --- the naive version ------------------------------------------------
+    // --- the lease-based version -------------------------------------------
 
-    // What many a proxy does: it takes a lease in the store when the primary has
-    // not answered for a while, promotes whichever replica answers, and passes on
-    // the primary's own word that a write is done.
+    // A common proxy design: it takes a lease in the store when the primary has not
+    // answered for a while, promotes any replica that answers, and acknowledges a write on
+    // the primary's own answer.
     void tickNaive(std::size_t index)
     {
         Home &home = *m_homes[index];
@@ -943,7 +944,7 @@
         return index;
     }
 
-    // Strikes a candidate just as its promotion leaves.
+    // Injects a fault at a candidate while the order to promote it is being sent.
     void injectPromotionFault(std::size_t home, std::size_t member)
     {
         const microseconds length(20'000 + below(150'000));
@@ -953,13 +954,13 @@
         case 1:
             return kill(member, length);
         default:
-            // The order arrives, its answer does not.
+            // The order arrives, its answer is lost.
             after(microseconds(200), [=, this] { cut("answers", m_homeMemberCut, home * m_members.size() + member, length); });
         }
     }
 
-    // Most homes lose one member that everybody else still reaches: they replace
-    // it while it goes on writing and its replicas go on copying.
+    // All homes but its own lose the link to one member: they replace it while it continues
+    // to write and its replicas continue to replicate.
     void cutFromOthers(std::size_t member, microseconds length)
     {
         for (std::size_t home = 0; home < m_homes.size(); ++home) {
@@ -991,7 +992,7 @@
         }
     }
 
-    // Cuts one zone, with its home and its member, off from everything else.
+    // Cuts one zone, with its home and its member, off from all others.
     void cutZone(std::size_t zone, microseconds length)
     {
         const std::size_t n = m_members.size();
@@ -1015,7 +1016,7 @@
         home.paused = true;
         home.pausedAt = m_now;
         home.clockStopped = below(2) == 0;
-        note("pause home " + m_members[index].name + (home.clockStopped ? ", its clock stands still" : ""));
+        note("pause home " + m_members[index].name + (home.clockStopped ? ", its clock stops" : ""));
         const std::uint64_t incarnation = home.incarnation;
         after(length, [this, index, incarnation] {
             if (m_homes[index]->incarnation == incarnation) {
@@ -1030,7 +1031,7 @@
         if (!home.paused) {
             return;
         }
-        note("home wakes " + m_members[index].name);
+        note("home resumes " + m_members[index].name);
         home.paused = false;
         if (home.clockStopped) {
             home.lostTime += m_now - home.pausedAt;
@@ -1049,7 +1050,7 @@
 
     void healAll()
     {
-        note("everything heals");
+        note("all faults heal");
         m_healed = true;
         m_quiet = true;
         m_spikeUntil = microseconds(0);
@@ -1071,10 +1072,10 @@
         return m_acksAfterHealing >= 5;
     }
 
-    // --- what must hold ---------------------------------------------------
+    // --- invariants -------------------------------------------------------
 
-    // A watermark dated t proves a state: nothing acknowledged before t may lie
-    // beyond its mark. The age counts, so a clock that stood still shows here.
+    // A watermark dated t proves that nothing acknowledged before t lies beyond its mark.
+    // The check uses its age, so a clock that was suspended is detected here.
     void checkWatermark(std::size_t index, const Watermark &watermark)
     {
         const microseconds age = std::chrono::duration_cast<microseconds>(localNow(index) - watermark.sentAt);
@@ -1083,7 +1084,7 @@
         if (beyond == m_acks.begin()) {
             return;
         }
-        if (beyond - m_acks.begin() > 8) { // marks rise nearly in order; the last few decide
+        if (beyond - m_acks.begin() > 8) { // marks rise nearly in order, so the last few suffice
             for (auto ack = beyond - 8; ack != beyond; ++ack) {
                 checkWithin(index, *ack, watermark);
             }
@@ -1104,8 +1105,8 @@
         }
     }
 
-    // A read that goes to a member because it has replayed a watermark's mark must
-    // see everything that was acknowledged before the watermark's date.
+    // A read that is sent to a member because it has replayed a watermark's mark must see
+    // everything that was acknowledged before the date of the watermark.
     void checkRead(std::size_t index)
     {
         const auto snapshot = m_homes[index]->monitor->snapshot();
@@ -1164,7 +1165,7 @@
         }
     }
 
-    // How members and homes stand, for the reader of a failed schedule.
+    // Logs the state of all members and homes, for the analysis of a failed schedule.
     void noteState()
     {
         for (const FakeMember &member : m_members) {
@@ -1198,7 +1199,7 @@
     std::vector<FakeMember> m_members;
     std::vector<std::unique_ptr<Home>> m_homes;
     FakeStore m_store;
-    // Counts of the faults that cut a link now; a link works at 0 or below.
+    // The number of active faults that cut each link; a link works at 0 or below.
     std::vector<int> m_homeMemberCut;
     std::vector<int> m_homeHomeCut;
     std::vector<int> m_memberMemberCut;
--- a/tests/core/commitgate_test.cpp
+++ b/tests/core/commitgate_test.cpp
@@ -1,4 +1,4 @@
-// What releases the answer of a commit, and what must not.
+// Tests which evidence confirms a commit, and which must not.
 
 #define BOOST_TEST_MODULE CommitGate
 #include <boost/test/unit_test.hpp>
@@ -40,7 +40,7 @@
     return CommitGate({"a", "b", "c"}, durability);
 }
 
-// The one resolution of `id`, or nothing while it is held.
+// The outcome of `id`, or nothing while its answer is held.
 std::optional<CommitOutcome> outcome(const std::vector<CommitResolution> &resolutions, CommitId id)
 {
     for (const CommitResolution &resolution : resolutions) {
@@ -58,7 +58,7 @@
 BOOST_AUTO_TEST_CASE(WaitForASecondMemberThatHoldsThem)
 {
     CommitGate gate = gateOfThree();
-    BOOST_TEST(gate.add(1, 3, primary(3, 10), deadline, start).empty(), "the primary's word alone must not confirm");
+    BOOST_TEST(gate.add(1, 3, primary(3, 10), deadline, start).empty(), "the primary's status alone must not confirm");
     BOOST_TEST(gate.onMemberStatus(status("b", 3, {3, 9}), start).empty(), "a member short of the mark must not confirm");
     BOOST_TEST((outcome(gate.onMemberStatus(status("b", 3, {3, 10}), start), 1) == CommitOutcome::Confirmed));
     BOOST_TEST(gate.waiting() == 0U);
@@ -74,7 +74,7 @@
     BOOST_TEST(gate.waiting() == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(TellHowLongTheOldestOfThemWaits)
+BOOST_AUTO_TEST_CASE(ReportHowLongTheOldestOfThemWaits)
 {
     CommitGate gate = gateOfThree();
     BOOST_TEST(!gate.heldSince().has_value());
@@ -92,10 +92,9 @@
     BOOST_TEST((outcome(gate.add(1, 3, primary(3, 10), deadline, start), 1) == CommitOutcome::Confirmed));
 }
 
-// Symptom: an acknowledged write is missing after a failover.
-// Sequence: b promises term 4 and tells its mark to the promoter; then the old
-// primary's write reaches b; b's status shows the mark, with the promise of term 4.
-// Cause: counting b for term 3 although the promoter has not seen the write.
+// Counting b for term 3 would lose an acknowledged write in a failover: b promises term 4
+// and reports its mark to the promoter, then receives the old primary's write. Its status
+// shows the write, but the promoter has not seen it.
 BOOST_AUTO_TEST_CASE(AreNotConfirmedByAMemberThatPromisedMore)
 {
     CommitGate gate = gateOfThree();
@@ -117,8 +116,8 @@
     CommitGate gate = gateOfThree();
     const MemberStatus fenced = status("a", 4, {3, 10}, UpstreamRole::Fenced);
     BOOST_TEST((outcome(gate.add(1, 3, fenced, deadline, start), 1) == CommitOutcome::LostPrimary));
-    // Promoted again in between: the write may have been cut off by a primary of
-    // the term that lies between.
+    // The member was promoted again in between: a primary of the term between may have
+    // discarded the write.
     BOOST_TEST((outcome(gate.add(2, 3, primary(5, 20), deadline, start), 2) == CommitOutcome::LostPrimary));
 }
 
@@ -141,12 +140,10 @@
     BOOST_TEST((outcome(gate.onMemberStatus(status("b", 3, {3, 2}), start + milliseconds(1)), 1) == CommitOutcome::Confirmed));
 }
 
-// Symptom: a database set to "primary only" loses an acknowledged write.
-// Sequence: the write is confirmed while no replica has it; the primary dies; a
-// majority of the two others has nothing to find it in.
-// Cause: that is the trade that the setting names. The same events hold the answer
-// back under majority durability.
-BOOST_AUTO_TEST_CASE(OfAPrimaryOnlyDatabaseMayDieWithThePrimary)
+// With primary-only durability a write may be confirmed before any replica holds it, and is
+// lost if the primary then fails. The setting accepts this; under majority durability the
+// same events keep the answer back.
+BOOST_AUTO_TEST_CASE(OfAPrimaryOnlyDatabaseMayBeLostWithThePrimary)
 {
     const MemberStatus behind = status("b", 3, {3, 2});
     CommitGate fast = gateOfThree(Durability::PrimaryOnly);
@@ -157,7 +154,7 @@
     BOOST_TEST(safe.onMemberStatus(behind, start).empty());
 }
 
-// The members whose own statuses prove that they held `mark` under its term.
+// The number of members whose own statuses prove that they held `mark` under its term.
 std::size_t proving(const std::vector<MemberStatus> &seen, const LogMark &mark)
 {
     std::set<std::string> members;
@@ -169,9 +166,9 @@
     return members.size();
 }
 
-// A random history of commits and statuses over `terms` terms at five members. After
-// a term is over the gate may forget evidence, so it may lose a commit that the full
-// history would prove; within one term it must agree with the history exactly.
+// Runs a random history of commits and statuses over `terms` terms at five members. After a
+// term has ended the gate may drop evidence, so it may report a commit as lost that the
+// full history would prove; within one term it must agree with the history exactly.
 void checkAgainstHistory(std::uint64_t seed, Term terms)
 {
     std::mt19937_64 random(seed);
--- a/tests/core/failuredetector_test.cpp
+++ b/tests/core/failuredetector_test.cpp
@@ -1,4 +1,4 @@
-// When an upstream is taken for failed, and when not.
+// Tests when an upstream is considered failed, and when not.
 
 #define BOOST_TEST_MODULE FailureDetector
 #include <boost/test/unit_test.hpp>
@@ -38,7 +38,7 @@
     BOOST_TEST(detector.suspects(start + milliseconds(400)));
 }
 
-BOOST_AUTO_TEST_CASE(BearMoreSilenceOnANoisyLink)
+BOOST_AUTO_TEST_CASE(TolerateMoreSilenceOnANoisyLink)
 {
     FailureDetector detector = measured(50, milliseconds(2));
     for (int i = 0; i < 20; ++i) {
@@ -54,7 +54,7 @@
 {
     FailureDetector detector = measured(50, milliseconds(2));
     detector.onSent(start);
-    BOOST_TEST(!detector.suspects(start + std::chrono::seconds(10)), "one probe may always be lost");
+    BOOST_TEST(!detector.suspects(start + std::chrono::seconds(10)), "a single lost probe must not raise a suspicion");
 }
 
 BOOST_AUTO_TEST_CASE(ForgetALostProbeOnceALaterOneIsAnswered)
@@ -66,7 +66,7 @@
     BOOST_TEST(!detector.suspects(start + milliseconds(1000)));
 }
 
-BOOST_AUTO_TEST_CASE(TakeRefusalsForFailureLongBeforeSilence)
+BOOST_AUTO_TEST_CASE(SuspectRefusalsLongBeforeSilence)
 {
     FailureDetector detector = measured(50, milliseconds(2));
     detector.onFailure(ProbeFailure::Reset, start);
@@ -76,10 +76,8 @@
     BOOST_TEST(detector.refused());
 }
 
-// Symptom: a host that wakes up from a pause suspects every upstream at once.
-// Sequence: probes leave; the process is stopped for a minute; it runs on and finds
-// its probes a minute old.
-// Cause: its own pause is taken for the silence of the upstreams.
+// A process that was suspended for a minute resumes with probes that are a minute old. Its
+// own pause must not count as silence, or it would suspect every upstream at once.
 BOOST_AUTO_TEST_CASE(DoNotTakeTheirOwnPauseForSilence)
 {
     FailureDetector detector = measured(50, milliseconds(2));
@@ -95,9 +93,8 @@
 
 BOOST_AUTO_TEST_CASE(AreSignsOfLife)
 {
-    // Symptom: an overloaded primary is replaced although it works.
-    // Sequence: its slots are full, so it answers probes that it has no room for them.
-    // Cause: such answers were counted as refusals.
+    // An overloaded primary whose slots are full answers that it has no capacity for the
+    // probe. If such answers counted as refusals, a working primary would be replaced.
     FailureDetector detector;
     const TimePoint start{std::chrono::seconds(100)};
     for (int i = 0; i < 50; ++i) {
--- a/tests/core/freshness_test.cpp
+++ b/tests/core/freshness_test.cpp
@@ -1,6 +1,6 @@
-// Proves what reads are promised: random histories of a naive group against the
-// real observer, gate, router and session state (freshnessworld.h). For each
-// mechanism there is a mutation that switches it off, and the proof has to notice.
+// Checks the guarantees of reads with random histories of a simple group model against the
+// real observer, gate, router and session state (freshnessworld.h). For each mechanism a
+// mutation switches it off, and the checks have to detect that.
 
 #define BOOST_TEST_MODULE Freshness
 #include <boost/test/unit_test.hpp>
@@ -29,7 +29,7 @@
 constexpr std::size_t scheduleLength = 600;
 constexpr std::uint32_t mutationSeeds = 3000;
 
-// The first violation of one of the claims that seeded schedules provoke.
+// The first violation of one of `claims` that a seeded schedule produces.
 std::optional<Violation> findViolation(const Mutation &mutation, const std::set<Claim> &claims)
 {
     for (std::uint32_t seed = 0; seed < mutationSeeds; ++seed) {
@@ -42,8 +42,9 @@
     return std::nullopt;
 }
 
-// An ordinary day of three seconds: steady writes, replicas a few milliseconds
-// behind with pauses of 30 ms, callers that move now and then, half of them without a token.
+// A steady load over three seconds of model time: continuous writes, replicas a few
+// milliseconds behind with pauses of 30 ms, and callers that move now and then, half of
+// them without a token.
 Schedule steadySchedule(std::uint32_t seed)
 {
     constexpr int milliseconds = 3000;
@@ -72,7 +73,7 @@
             schedule.push_back({Op::Write, 0, any(), 0});
         }
         if (chance(3)) {
-            // Even: the token goes along; b % 8 == 1 would be a bogus one.
+            // Even: the token is carried along; b % 8 == 1 would be an invalid one.
             schedule.push_back({Op::Move, any(), static_cast<std::uint8_t>(chance(50) ? 0 : 3), 0});
         }
         const std::uint8_t wish = chance(70) ? session : chance(33) ? latest : age60;
@@ -88,11 +89,11 @@
 
 PolicyResult runSteadyLoad(const Policy &policy)
 {
-    constexpr std::uint32_t days = 3;
+    constexpr std::uint32_t runs = 3;
     PolicyResult result;
     Instant waited = 0;
     std::size_t reads = 0;
-    for (std::uint32_t seed = 0; seed < days; ++seed) {
+    for (std::uint32_t seed = 0; seed < runs; ++seed) {
         World world(Mutation{}, policy);
         const auto violation = world.run(steadySchedule(seed));
         BOOST_REQUIRE_MESSAGE(!violation, "seed " << seed << ": " << violation->details);
@@ -123,8 +124,8 @@
 void expectCaught(const Mutation &mutation, const std::set<Claim> &claims)
 {
     BOOST_TEST(findViolation(mutation, claims).has_value(),
-               "no schedule out of " << mutationSeeds
-                                     << " noticed the missing mechanism; the proof is too weak, widen its schedules");
+               "none of " << mutationSeeds
+                          << " schedules detected the missing mechanism; the schedules have to cover more cases");
 }
 
 } // namespace
@@ -176,7 +177,7 @@
     BOOST_TEST_MESSAGE("reads " << total.reads << ", by replicas " << total.byReplica << ", with an age " << total.aged
                                 << ", latest " << total.latest << ", moves " << total.moves << ", acknowledged writes "
                                 << total.acknowledged << ", terms " << total.terms);
-    // A proof over schedules that do nothing would prove nothing.
+    // The schedules must exercise the guarantees, otherwise the check proves nothing.
     BOOST_TEST(total.byReplica > mutationSeeds);
     BOOST_TEST(total.aged > mutationSeeds);
     BOOST_TEST(total.latest > mutationSeeds);
@@ -184,9 +185,9 @@
     BOOST_TEST(total.terms > 2 * mutationSeeds);
 }
 
-// Symptom: a session does not see its own write, once in 80,000 schedules.
-// Sequence: a round leaves, a write is acknowledged and a read received within one millisecond; the round is answered.
-// Cause: the round counted as a confirmation made after the receipt, which stands in for an unreachable floor.
+// A round, the acknowledgement of a write and the receipt of a read may fall within one
+// millisecond. A confirmation of that moment must not count as later than the receipt, in
+// place of an unreachable floor: one in 80,000 schedules missed its own write.
 BOOST_AUTO_TEST_CASE(KeepsReadYourWritesWithinOneTickOfTheClock)
 {
     const Schedule schedule = {
@@ -202,13 +203,13 @@
 BOOST_AUTO_TEST_CASE(KeepsMoreReadsOffThePrimaryThanTheBaseline)
 {
     const PolicyResult baseline = runSteadyLoad({RoutingPolicy::Baseline, WaitPolicy::Never, true});
-    const PolicyResult unwaiting = runSteadyLoad({RoutingPolicy::Replicas, WaitPolicy::Never, true});
-    const PolicyResult ours = runSteadyLoad({RoutingPolicy::Replicas, WaitPolicy::Predict, true});
+    const PolicyResult neverWaiting = runSteadyLoad({RoutingPolicy::Replicas, WaitPolicy::Never, true});
+    const PolicyResult predicting = runSteadyLoad({RoutingPolicy::Replicas, WaitPolicy::Predict, true});
     BOOST_TEST_MESSAGE("baseline: " << describe(baseline));
-    BOOST_TEST_MESSAGE("replicas, never waiting: " << describe(unwaiting));
-    BOOST_TEST_MESSAGE("replicas, predicted waits: " << describe(ours));
-    BOOST_TEST(ours.routing.replicaShare() > baseline.routing.replicaShare());
-    BOOST_TEST(ours.routing.replicaShare() > unwaiting.routing.replicaShare());
+    BOOST_TEST_MESSAGE("replicas, never waiting: " << describe(neverWaiting));
+    BOOST_TEST_MESSAGE("replicas, predicted waits: " << describe(predicting));
+    BOOST_TEST(predicting.routing.replicaShare() > baseline.routing.replicaShare());
+    BOOST_TEST(predicting.routing.replicaShare() > neverWaiting.routing.replicaShare());
 }
 
 BOOST_AUTO_TEST_CASE(NoticesAnIgnoredFloor)
@@ -239,9 +240,9 @@
     expectCaught(mutation, {Claim::MaxAge, Claim::Latest});
 }
 
-// Symptom: a read shows older data than its caller accepts.
-// Sequence: a virtual machine is suspended and resumed; its clock did not count the time between.
-// Cause: watermarks from before the gap look younger than they are.
+// The clock of a suspended virtual machine may not count the suspension. Watermarks from
+// before the gap then appear younger than they are, and a read returns older data than its
+// caller accepts.
 BOOST_AUTO_TEST_CASE(NoticesProofsKeptOverAGapInTheClock)
 {
     Mutation mutation;
@@ -256,7 +257,7 @@
     expectCaught(mutation, {Claim::MaxAge, Claim::Latest});
 }
 
-BOOST_AUTO_TEST_CASE(NoticesAPrimaryTakenForFreshUnasked)
+BOOST_AUTO_TEST_CASE(NoticesAPrimaryAssumedFreshWithoutAProbe)
 {
     Mutation mutation;
     mutation.gate.confirmation = false;
@@ -270,9 +271,9 @@
     expectCaught(mutation, {Claim::Latest});
 }
 
-// Symptom: a session that moved misses its own write, or time goes back for it.
-// Sequence: it writes through one host, arrives at another without a token and reads a late replica.
-// Cause: an unknown arrival counted as one that has seen nothing.
+// A session that writes through one host and arrives at another without a token may read a
+// replica that lags. Treating the arrival as a new session would miss its own write or go
+// back in time.
 BOOST_AUTO_TEST_CASE(NoticesArrivalsTakenForNewSessions)
 {
     Mutation mutation;
@@ -294,9 +295,9 @@
     expectCaught(mutation, {Claim::ReadYourWrites, Claim::MonotonicReads});
 }
 
-// Symptom: a session sees a booking on one replica and not on the next.
-// Sequence: replay goes on between the observer's probe and the read; the floor rises to the probe's mark alone.
-// Cause: the floor took the lower bound of what the read showed.
+// Replay continues between the observer's probe and the read. If the floor rises only to
+// the probe's mark, a lower bound of what the read showed, the session may see an entry on
+// one replica and not on the next.
 BOOST_AUTO_TEST_CASE(NoticesFloorsTakenBeforeTheRead)
 {
     Mutation mutation;
--- a/tests/core/freshnessgate_test.cpp
+++ b/tests/core/freshnessgate_test.cpp
@@ -1,5 +1,5 @@
-// Single decisions of the gate, one rule at a time; freshness_test.cpp proves
-// them together against random histories.
+// Tests single decisions of the gate, one rule at a time; freshness_test.cpp checks them
+// together against random histories.
 
 #define BOOST_TEST_MODULE FreshnessGate
 #include <boost/test/unit_test.hpp>
@@ -139,9 +139,9 @@
     BOOST_TEST(decide(latest(), snapshot, "r", 14) == "serve 2:104");
 }
 
-// Symptom: about one random schedule in 80,000 shows a session without its own write.
-// Sequence: a round leaves, a write is acknowledged, a read is received, all within one tick of the clock.
-// Cause: a confirmation of the receipt's own moment counted as made after it, and so in place of the floor.
+// A probe round, the acknowledgement of a write and the receipt of a read may share one
+// clock reading. Counting that confirmation as later than the receipt, and so in place of
+// the floor, let about one random schedule in 80,000 miss its own write.
 BOOST_AUTO_TEST_CASE(AConfirmationOfTheSameMomentIsNotALaterOne)
 {
     GroupSnapshot snapshot = group();
@@ -151,9 +151,9 @@
     BOOST_TEST(decide(withFloor({2, 101}), snapshot, "r", 14) == "wait floor");
 }
 
-// Symptom: a caller that pipelines a write and a read does not see its write.
-// Sequence: both are received, a round leaves, the write is acknowledged, the read is handed on with the new floor.
-// Cause: the round came after the read's receipt, so its mark stood in for the floor.
+// With a pipelined write and read, a round may be sent after the receipt of both but before
+// the write is acknowledged. The mark of that round must not replace the floor, or the
+// caller misses its own write.
 BOOST_AUTO_TEST_CASE(AConfirmationFromBeforeTheFloorDoesNotStandInForIt)
 {
     GroupSnapshot snapshot = group();
@@ -164,7 +164,7 @@
     const FreshnessGate gate;
     BOOST_TEST(text(gate.decide(pipelined, snapshot, "r", at(14))) == "wait floor");
     pipelined.floorSince.reset();
-    BOOST_TEST(text(gate.decide(pipelined, snapshot, "r", at(14))) == "wait floor", "an unknown moment bounds nothing");
+    BOOST_TEST(text(gate.decide(pipelined, snapshot, "r", at(14))) == "wait floor", "an unknown time gives no bound");
     pipelined.floorSince = at(10);
     BOOST_TEST(text(gate.decide(pipelined, snapshot, "r", at(14))) == "serve 2:100");
 }
@@ -175,7 +175,8 @@
     snapshot.primaryConfirmed = false;
     BOOST_TEST(decide(latest(), snapshot, "r") == "elsewhere unconfirmed");
     BOOST_TEST(decide(latest(), snapshot, "p") == "wait unconfirmed");
-    BOOST_TEST(decide(withFloor({2, 90}), snapshot, "r") == "serve 2:90", "a cut-off zone goes on serving floors");
+    BOOST_TEST(decide(withFloor({2, 90}), snapshot, "r") == "serve 2:90",
+               "a zone that is cut off continues to serve reads with a floor");
 }
 
 BOOST_AUTO_TEST_CASE(AMemberOfAnotherTermServesNothing)
@@ -188,11 +189,10 @@
     BOOST_TEST(decide(Freshness{}, snapshot, "x") == "elsewhere unreachable");
 }
 
-// Symptom: a session writes, and its next read is refused: its upstream can't be reached.
-// Sequence: the upstream has just started again, or this host has just become its home; the
-// read comes before the first look at the group has been answered.
-// Cause: whoever had not answered yet counted as unreachable.
-BOOST_AUTO_TEST_CASE(AwaitsTheFirstWordOfAMemberOfWhichNothingIsKnown)
+// A read may arrive before the first probe is answered, because the upstream has just
+// started or this host has just become its home. A member without an answer must not count
+// as unreachable, or a session's read after its write is refused.
+BOOST_AUTO_TEST_CASE(WaitsForTheFirstStatusOfAnUnknownMember)
 {
     GateOptions checksMarks;
     checksMarks.upstreamChecksMarks = true;
@@ -208,22 +208,22 @@
     BOOST_TEST(decide(withFloor({2, 90}), snapshot, "r", 10, checksMarks) == "elsewhere unreachable");
 }
 
-// Symptom: a session with a token from a group that was restored from a backup never gets an answer.
-// Sequence: the restored group's marks lie below the token's floor; no replay can reach it.
-// Cause: the floor is bogus, and the gate waits for it.
-BOOST_AUTO_TEST_CASE(ABogusFloorCostsOneConfirmationAndNoMore)
+// After a restore from a backup, a token may name a floor above all marks of the group,
+// which no replay reaches. Its session must get an answer after one confirmation instead of
+// waiting for the floor.
+BOOST_AUTO_TEST_CASE(AnInvalidFloorCostsOneConfirmationAndNoMore)
 {
     GroupSnapshot snapshot = group();
-    const Freshness bogus = withFloor({99, 1ULL << 60U});
-    BOOST_TEST(decide(bogus, snapshot, "r") == "elsewhere floor");
-    BOOST_TEST(decide(bogus, snapshot, "p") == "wait floor");
+    const Freshness invalid = withFloor({99, 1ULL << 60U});
+    BOOST_TEST(decide(invalid, snapshot, "r") == "elsewhere floor");
+    BOOST_TEST(decide(invalid, snapshot, "p") == "wait floor");
     snapshot.watermarks.push_back({at(11), LogMark{2, 100}});
-    BOOST_TEST(decide(bogus, snapshot, "p", 14) == "serve 2:100");
+    BOOST_TEST(decide(invalid, snapshot, "p", 14) == "serve 2:100");
     snapshot.members[1].replayed = LogMark{2, 100};
-    BOOST_TEST(decide(bogus, snapshot, "r", 14) == "serve 2:100");
+    BOOST_TEST(decide(invalid, snapshot, "r", 14) == "serve 2:100");
 }
 
-BOOST_AUTO_TEST_CASE(TellsTheProvenAge)
+BOOST_AUTO_TEST_CASE(ReportsTheProvenAge)
 {
     const FreshnessGate gate;
     const GroupSnapshot snapshot = group();
@@ -267,9 +267,9 @@
 
 BOOST_AUTO_TEST_CASE(AreWaitedForWhileNoProofIsYoungEnough)
 {
-    // Symptom: a read shows a state older than its caller accepts.
-    // Sequence: no round has confirmed the primary for longer than the accepted age.
-    // Cause: the newest mark was required although it proves nothing about that age.
+    // If no round has confirmed the primary within the accepted age, the newest mark proves
+    // nothing about that age. Requiring it would let a read show an older state than its
+    // caller accepts.
     const GateDecision decision = FreshnessGate(checkedByUpstreams()).decide(request(withAge(5)), group(), "r", at(10));
     BOOST_TEST(std::holds_alternative<WaitUntil>(decision), "the read was answered " << text(decision));
 }
@@ -283,11 +283,10 @@
     BOOST_TEST((requiredMark(both, group(), at(10)) == LogMark{2, 80}));
 }
 
-BOOST_AUTO_TEST_CASE(ReplaceAFloorThatAChangeOfPrimaryMayHaveGivenUp)
+BOOST_AUTO_TEST_CASE(ReplaceAFloorThatAChangeOfPrimaryMayHaveDiscarded)
 {
-    // Symptom: every read of a session is refused after a change of primary.
-    // Sequence: the session wrote under term 1; the new primary lacks that entry.
-    // Cause: the floor was required although no log will ever hold it.
+    // A session's floor of term 1 may name an entry that the new primary lacks. No log will
+    // ever hold it, so requiring it would refuse every read of the session.
     BOOST_TEST((requiredMark(withFloor({1, 500}), group(), at(10)) == LogMark{2, 100}));
 }
 
--- a/tests/core/freshnessworld.h
+++ b/tests/core/freshnessworld.h
@@ -1,7 +1,7 @@
-// Callers and hosts around the naive group of groupmodel.h, driven by schedules:
-// the real observer, gate, router and session state of each host on a clock of its
-// own, with probes that come late or get lost. Every read that the gate serves is
-// compared with what the group really acknowledged.
+// Callers and hosts around the group model of groupmodel.h, driven by schedules. Each host
+// has the real observer, gate, router and session state and its own clock; probes may be
+// late or lost. Every read that the gate serves is compared with what the group actually
+// acknowledged.
 
 #pragma once
 
@@ -22,25 +22,25 @@
 
 constexpr milliseconds replicaWait{20};
 
-// Which policies run, and whether observers begin their rounds by themselves.
+// The routing and wait policies, and whether observers start their rounds themselves.
 struct Policy {
     RoutingPolicy routing = RoutingPolicy::Replicas;
     WaitPolicy wait = WaitPolicy::Predict;
     bool ownRounds = false;
 };
 
-// What a mutation switches off.
+// The mechanisms that a mutation switches off.
 struct Mutation {
     GateChecks gate;
     GroupMonitorFaults monitor;
     // An arrival without a token counts as one with an empty floor.
     bool arrivalHasEmptyFloor = false;
-    // The floor rises to what the gate knew, not to a mark taken behind the read.
+    // The floor rises to the gate's lower bound instead of a mark taken after the read.
     bool floorFromLowerBound = false;
     // Arrivals may use confirmations from before they arrived.
     bool useEarlierConfirmations = false;
-    // Confirmations since the receipt of a read stand in for its floor, also when it
-    // was pipelined behind a write.
+    // Confirmations since the receipt of a read replace its floor, even when the read was
+    // pipelined after a write.
     bool floorSinceReceipt = false;
 };
 
@@ -65,7 +65,7 @@
     Gap,
 };
 
-// How often schedules hold each operation.
+// The relative frequency of each operation in a schedule.
 constexpr std::pair<Op, int> weights[] = {
     {Op::Round, 16},  {Op::Pass, 16},       {Op::Replicate, 16}, {Op::Replay, 16},    {Op::Write, 4}, {Op::WriteByOthers, 4},
     {Op::Confirm, 8}, {Op::Acknowledge, 8}, {Op::Read, 16},      {Op::RoutedRead, 8}, {Op::Move, 3},  {Op::StartPromotion, 1},
@@ -87,7 +87,7 @@
     return Op::Pass;
 }
 
-// One step of a schedule; what the numbers mean depends on the operation.
+// One step of a schedule; the meaning of the numbers depends on the operation.
 struct Command {
     Op op = Op::Pass;
     std::uint8_t a = 0;
@@ -123,11 +123,12 @@
     std::size_t moves = 0;
     std::size_t acknowledged = 0;
     std::size_t terms = 0;
-    // From handing on to the gate's permission, over all reads.
+    // Sum over all reads of the time from hand-over to the gate until it serves them.
     Instant waited = 0;
 };
 
-// A probe on its way: the member is asked at `takeAt`, its answer is in at `answerAt`.
+// An outstanding probe: the member's status is taken at `takeAt`, its answer arrives at
+// `answerAt`.
 struct Probe {
     std::size_t host = 0;
     RoundId round = 0;
@@ -138,15 +139,15 @@
     std::optional<MemberStatus> status;
 };
 
-// One host: an observer whose clock differs from everyone else's.
+// One host: an observer with its own clock.
 struct Host {
     std::unique_ptr<GroupMonitor> monitor;
     std::unique_ptr<Router> router;
     std::chrono::hours offset{0};
-    // Time that its clock did not count while it stood still.
+    // Time that its clock did not count while the host was suspended.
     milliseconds lost{0};
     bool suspended = false;
-    // By member: its probes get lost.
+    // By member: whether its probes are lost.
     std::array<bool, Group::size> cutOff{};
 
     TimePoint local(Instant now) const
@@ -158,27 +159,27 @@
 struct PendingRead {
     StatementRequest request;
     RouteAttempts attempts;
-    // False for reads that a test sends where it likes.
+    // False for reads that a schedule sends to a member of its choice.
     bool routed = false;
     TimePoint replicaWaitUntil;
     TimePoint floorSince;
     Instant handedOnAt = 0;
     Instant receivedAt = 0;
-    // Set once the gate let it go: when it runs.
+    // When the read runs; set once the gate serves it.
     std::optional<Instant> runAt;
     Instant decidedAt = 0;
     LogMark lowerBound;
     Term term = 0;
 };
 
-// A caller: what it was promised, and what it really did and saw.
+// A caller: its session state, and what it actually wrote and saw.
 struct Caller {
     std::size_t host = 0;
     std::unique_ptr<SessionState> state;
     Instant arrivedAt = 0;
     std::optional<PendingRead> read;
     std::optional<EntryId> write;
-    // The mark taken behind the pending write.
+    // The mark taken after the pending write.
     LogMark writeMark;
     std::set<EntryId> written;
     std::set<EntryId> seen;
@@ -208,7 +209,7 @@
         }
     }
 
-    // Runs the schedule up to the first broken promise.
+    // Runs the schedule up to the first violation.
     std::optional<Violation> run(const Schedule &schedule)
     {
         for (const Command &command : schedule) {
@@ -227,7 +228,7 @@
         return m_counts;
     }
 
-    // Where routed reads went, over all hosts.
+    // The routing counters, summed over all hosts.
     RoutingCounters routing() const
     {
         RoutingCounters sum;
@@ -296,7 +297,8 @@
         case Op::Promote:
             return m_group.promote();
         case Op::Failover:
-            // All at once, past one member that goes on as it was.
+            // A whole failover in one step; one member is not fenced and continues as
+            // before.
             m_group.startPromotion();
             m_group.fence(member);
             m_group.fence(next);
@@ -310,7 +312,8 @@
         }
     }
 
-    // Leaves a host with one member, as in a zone that is cut off, or heals that.
+    // Leaves a host with one reachable member, as in a zone that is cut off, or heals the
+    // cut.
     void cut(const Command &command)
     {
         const std::size_t member = command.b % Group::size;
@@ -329,7 +332,7 @@
             probe.host = host;
             probe.round = round.id;
             probe.member = member;
-            // One member a round may be slow or silent.
+            // One member per round may be slow or silent.
             const bool odd = command.b % 4 == member;
             probe.takeAt = m_now + (odd ? command.c % 32 : command.c % 3);
             probe.answerAt = probe.takeAt + (odd ? command.c % 64 : command.c % 4);
@@ -355,7 +358,7 @@
         }
     }
 
-    // Each host probes when its monitor says so: faster while reads wait.
+    // Each host probes when its monitor requests it, and more often while reads wait.
     void beginDueRounds()
     {
         for (std::size_t i = 0; i < m_hosts.size(); ++i) {
@@ -418,7 +421,7 @@
         ++m_counts.moves;
         std::string token = command.b % 2 == 0 ? caller.state->token() : std::string();
         if (command.b % 8 == 1) {
-            // From before a restored backup: beyond everything that the group has.
+            // From before a backup was restored: a floor beyond all entries of the group.
             token = m_codec->encode(SessionFloor{"db", LogMark{Term{1} << 40U, 7}});
         }
         arrive(caller, command.a % m_hosts.size(), token);
@@ -435,8 +438,9 @@
         }
     }
 
-    // Stops a host and its clock, as a suspended virtual machine; others go on. What
-    // reached it meanwhile is taken in after it has noticed the gap.
+    // Suspends a host and its clock, like a suspended virtual machine, while the others
+    // continue. Messages that arrived meanwhile are processed after the host has detected
+    // the gap.
     void suspendHost(Host &host, Instant time)
     {
         host.suspended = true;
@@ -476,7 +480,7 @@
         const TimePoint now = host.local(m_now);
         PendingRead read;
         read.routed = command.op == Op::RoutedRead;
-        // A pipelined read was there before the answer to the statement before it.
+        // A pipelined read is received before the answer to the preceding statement.
         const Instant pipelined = command.c % 4 == 0 ? command.b % 64 : 0;
         read.receivedAt = std::max(caller.arrivedAt, m_now - pipelined);
         read.replicaWaitUntil = now + replicaWait;
@@ -501,7 +505,8 @@
         carryRead(caller);
     }
 
-    // What the home of every upstream would say; here the front is the home.
+    // The hint that the homes would send; here the front's host is the home of every
+    // upstream.
     GroupHint hintOf(const Host &host) const
     {
         const auto snapshot = host.monitor->snapshot();
@@ -536,7 +541,7 @@
         const GateDecision decision = m_gate.decide(asked, *snapshot, read.request.upstream, host.local(m_now));
         if (const auto *serve = std::get_if<Serve>(&decision)) {
             read.decidedAt = m_now;
-            // Within the margin when an age counts; the network may take longer.
+            // A served read may run up to 4 ms later than decided, as on a slow network.
             read.runAt = m_now + (serve->shown.position % 3 == 0 ? 4 : 0);
             read.lowerBound = serve->shown;
             read.term = snapshot->term;
--- a/tests/core/group_test.cpp
+++ b/tests/core/group_test.cpp
@@ -1,9 +1,9 @@
-// What must always hold, over seeded schedules of faults: several homes, each with
-// the real monitor, gate, promoter and switchover, against a model of a group. The
-// checks stand in testing/support/groupworld.h: every acknowledged write is in every
-// later primary, no replaced primary's write is acknowledged, a term has one primary,
-// a watermark proves the age it claims, reads that rely on it miss nothing, and
-// writes are confirmed again once all faults are healed.
+// Checks invariants over seeded schedules of faults: several homes, each with the real
+// monitor, gate, promoter and switchover, run against a model of a group. The invariants
+// are in testing/support/groupworld.h: every acknowledged write is in every later primary,
+// no write of a replaced primary is acknowledged, a term has one primary, a watermark
+// proves the age that it claims, reads that rely on it miss nothing, and writes are
+// confirmed again once all faults are healed.
 
 #define BOOST_TEST_MODULE Group
 #include <boost/test/unit_test.hpp>
@@ -20,8 +20,8 @@
 namespace
 {
 
-// RC_PARAMS="max_success=1000" runs ten times as many. Sanitizers look for other
-// faults than the claims and slow a schedule down tenfold, so they get fewer.
+// RC_PARAMS="max_success=1000" runs ten times as many. Sanitizers look for other faults and
+// slow a schedule down tenfold, so they run fewer.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 constexpr std::uint64_t schedulesPerCase = 2;
 #else
@@ -65,7 +65,8 @@
 
 using Configure = std::function<WorldOptions(std::uint64_t seed)>;
 
-// Runs schedules from seeds that RapidCheck draws; a failure prints seed and eventLog.
+// Runs schedules from seeds that RapidCheck draws; a failure prints the seed and the event
+// log.
 Totals checkSchedules(const char *claim, const Configure &configure, std::uint64_t perCase = schedulesPerCase)
 {
     Totals totals;
@@ -94,7 +95,7 @@
     return options;
 }
 
-WorldOptions withoutTrouble(std::uint64_t seed)
+WorldOptions withoutMessageFaults(std::uint64_t seed)
 {
     WorldOptions options = quickWorld(seed);
     options.lossOneIn = 0;
@@ -112,11 +113,11 @@
 
 BOOST_AUTO_TEST_CASE(KeepEveryAcknowledgedWriteWhateverFails)
 {
-    const Totals totals = checkSchedules("what must always hold does, and writes come back", anyWorld);
-    BOOST_TEST(totals.promotions > totals.schedules / 2, "the schedules hardly ever fail over; they prove little");
-    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "hardly any write was acknowledged; there is little to lose");
-    BOOST_TEST(totals.unknown > 0U, "no commit was left open; no write was under way when something failed");
-    BOOST_TEST(totals.reads > totals.schedules, "hardly any read was proven; the freshness check proves little");
+    const Totals totals = checkSchedules("all invariants hold, and writes recover", anyWorld);
+    BOOST_TEST(totals.promotions > totals.schedules / 2, "the schedules rarely fail over; they prove little");
+    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "too few writes were acknowledged to detect a loss");
+    BOOST_TEST(totals.unknown > 0U, "no commit had an unknown outcome; no fault met a running write");
+    BOOST_TEST(totals.reads > totals.schedules, "too few reads were checked for freshness");
 }
 
 BOOST_AUTO_TEST_CASE(NeverAcknowledgeForAReplacedPrimaryEvenWithoutDurability)
@@ -127,19 +128,19 @@
             options.durability = Durability::PrimaryOnly;
             return options;
         });
-    BOOST_TEST(totals.promotions > totals.schedules / 2, "the schedules hardly ever replace a primary; they prove little");
-    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "hardly any write was acknowledged");
+    BOOST_TEST(totals.promotions > totals.schedules / 2, "the schedules rarely replace a primary; they prove little");
+    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "too few writes were acknowledged");
 }
 
 BOOST_AUTO_TEST_CASE(LoseNothingAndLeaveNothingOpenInPlannedChanges)
 {
     const Totals totals = checkSchedules("planned changes leave no outcome unknown", [](std::uint64_t seed) {
-        WorldOptions options = withoutTrouble(seed);
+        WorldOptions options = withoutMessageFaults(seed);
         options.planned = true;
         return options;
     });
     BOOST_TEST(totals.planned > totals.schedules);
-    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "hardly any write met the planned changes");
+    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "too few writes overlapped with the planned changes");
     BOOST_TEST(totals.unknown == 0U);
 }
 
@@ -152,18 +153,17 @@
         options.writeSpacing = std::chrono::milliseconds(100);
         return options;
     });
-    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "the steady runs hardly wrote; nobody looked at the primary");
+    BOOST_TEST(totals.acknowledged > 10 * totals.schedules, "the steady runs acknowledged too few writes");
     BOOST_TEST(totals.promotions == 0U, "a promotion without a failure; see docs/design/detection.md for the settings");
 }
 
-// Symptom: writes stop for as long as a primary is cut off from its own zone.
-// Sequence: the link between a and its home fails; the other homes reach a and see
-// nothing wrong; writes go through the home of the primary only.
-// Cause: see Promoter's Opinions/OfOthersDoNotBindThePrimarysOwnHomeForEver.
+// Only the link between the primary and its own home fails. The other homes still reach the
+// primary, but writes go only through its home, so they would stop until the cut ends. See
+// the Promoter test Opinions/OfOthersDoNotBindThePrimarysOwnHomeForEver.
 BOOST_AUTO_TEST_CASE(MoveAPrimaryThatOnlyItsOwnZoneHasLost)
 {
     const Configure configure = [](std::uint64_t seed) {
-        WorldOptions options = withoutTrouble(seed);
+        WorldOptions options = withoutMessageFaults(seed);
         options.faults = 0;
         options.faultSpan = std::chrono::seconds(2);
         options.ownHomeCutAt = std::chrono::milliseconds(200);
@@ -175,11 +175,9 @@
                "writes waited " << totals.longestGap.count() << " us for the cut to end");
 }
 
-// Symptom: after a failover an acknowledged write is gone.
-// Sequence: a database is set to primary-only durability; its primary dies while the
-// replicas lag.
-// Cause: that setting's trade, shown here so that nobody chooses it unknowingly. The
-// same seeds lose nothing under majority durability.
+// With primary-only durability, an acknowledged write is lost when the primary fails while
+// the replicas lag. The test documents this property of the setting; the same seeds lose
+// nothing under majority durability.
 BOOST_AUTO_TEST_CASE(MayLoseAcknowledgedWritesUnderPrimaryOnlyDurability)
 {
     std::size_t lost = 0;
--- a/tests/core/groupmodel.h
+++ b/tests/core/groupmodel.h
@@ -1,7 +1,7 @@
-// A naive database group for proofs: whole logs, every entry kept, and what really
-// was acknowledged when. It follows the group's promises (terms, fencing, the
-// majority's most advanced log wins) and is otherwise as unfriendly as they allow:
-// replaced primaries go on writing, replicas stop, acknowledgements come late.
+// A simple model of a database group: whole logs, every entry kept, and when each write was
+// acknowledged. It follows the group's rules (terms, fencing, the most advanced log of a
+// majority wins) and otherwise behaves as adversely as they allow: replaced primaries
+// continue to write, replicas stop, acknowledgements are late.
 
 #pragma once
 
@@ -19,13 +19,13 @@
 namespace egrettide::model
 {
 
-// The model's own clock, which no host can read.
+// The model's own clock, which is hidden from all hosts.
 using Instant = std::int64_t; // milliseconds
 using EntryId = std::uint64_t;
 
 struct Entry {
     Term term = 0;
-    // Never used twice.
+    // Unique.
     EntryId id = 0;
 
     friend bool operator==(const Entry &, const Entry &) = default;
@@ -69,11 +69,11 @@
     }
 };
 
-// A write that its primary took and that may be acknowledged one day.
+// A write that its primary accepted and that is not acknowledged yet.
 struct PendingWrite {
     Entry entry;
     std::size_t position = 0;
-    // The members seen to hold it while they stood by its term.
+    // The members seen to hold it while their promise was its term.
     std::set<std::size_t> holders;
 };
 
@@ -105,7 +105,7 @@
         return static_cast<std::size_t>(name[0] - 'a');
     }
 
-    // A write at a member; nothing when it takes none.
+    // Writes at a member; nothing when it is not a primary.
     std::optional<Entry> write(std::size_t at)
     {
         if (m_members[at].role != UpstreamRole::Primary) {
@@ -132,7 +132,7 @@
         member.replayed = std::min(member.log.size(), member.replayed + count);
     }
 
-    // The home learns that a member holds a write and stands by its term.
+    // The home receives evidence that a member holds a write and stands by its term.
     void confirm(std::size_t by)
     {
         const Member &member = m_members[by];
@@ -144,7 +144,7 @@
         }
     }
 
-    // Acknowledges what a majority was seen to hold, however long ago that was.
+    // Acknowledges all writes that a majority was seen to hold, however long ago.
     void acknowledge(Instant now)
     {
         for (const PendingWrite &pending : m_pending) {
@@ -174,7 +174,7 @@
         m_fenced.emplace(at, markAt(member.log, member.log.size()));
     }
 
-    // Promotes the most advanced of a fenced majority.
+    // Promotes the most advanced member of a fenced majority.
     void promote()
     {
         if (m_fenced.size() < majority || m_histories.contains(m_nextTerm)) {
@@ -239,7 +239,7 @@
     std::map<EntryId, Instant> m_acknowledged;
     std::map<Term, Log> m_histories;
     Term m_nextTerm = 1;
-    // The members that promised m_nextTerm, with their marks at that moment.
+    // The members that promised m_nextTerm, with their marks at the time of the promise.
     std::map<std::size_t, LogMark> m_fenced;
     EntryId m_lastEntry = 0;
 };
--- a/tests/core/groupmonitor_test.cpp
+++ b/tests/core/groupmonitor_test.cpp
@@ -1,4 +1,4 @@
-// What a round of probes proves, and what it does not.
+// Tests what a round of probes proves, and what it does not.
 
 #define BOOST_TEST_MODULE GroupMonitor
 #include <boost/test/unit_test.hpp>
@@ -41,7 +41,7 @@
         return start + std::chrono::milliseconds(milliseconds);
     }
 
-    // A round in which everybody stands by term 1 of a.
+    // A round in which all members stand by term 1 of a.
     void settledRound(int milliseconds, Position position)
     {
         const RoundId round = monitor.beginRound(at(milliseconds)).id;
@@ -140,10 +140,9 @@
     BOOST_TEST(monitor.snapshot()->primary == "a", "it is not replaced, only not confirmed");
 }
 
-// Symptom: reads accept data that is older than they allow, after a host woke up.
-// Sequence: a round leaves; the host is suspended, with its clock; on waking it gets
-// the answers and dates them by a clock that has not moved.
-// Cause: trusting times measured across a gap.
+// A host may be suspended, together with its clock, while a round is open. When it resumes,
+// its clock has not moved, and answers that it dates by that clock would let reads accept
+// older data than they allow.
 BOOST_AUTO_TEST_CASE(ProveNothingAcrossAClockGap)
 {
     settledRound(0, 7);
@@ -178,9 +177,9 @@
 BOOST_AUTO_TEST_CASE(JudgeAMemberOnceItHasAnsweredRefusedOrBeenSilent)
 {
     const auto judged = [this](std::size_t member) { return monitor.snapshot()->members.at(member).judged; };
-    BOOST_TEST(!judged(0), "nothing is known of a member that was never asked");
+    BOOST_TEST(!judged(0), "nothing is known of a member that was never probed");
     const RoundId round = monitor.beginRound(at(0)).id;
-    BOOST_TEST(!judged(0), "a question says nothing yet");
+    BOOST_TEST(!judged(0), "an unanswered probe says nothing yet");
     monitor.onStatus(round, primary("a", 1, 7), at(1));
     monitor.onProbeFailed(round, "b", ProbeFailure::Refused, at(1));
     BOOST_TEST(judged(0));
@@ -188,10 +187,10 @@
     BOOST_TEST(!judged(2));
     monitor.beginRound(at(10));
     monitor.onTimer(at(5000));
-    BOOST_TEST(judged(2), "silence for longer than any timeout is an answer, too");
+    BOOST_TEST(judged(2), "silence beyond the timeout counts as a failure");
 }
 
-BOOST_AUTO_TEST_CASE(FollowCloselyWhileSomebodyWaits)
+BOOST_AUTO_TEST_CASE(FollowCloselyWhileARequestWaits)
 {
     settledRound(0, 7);
     BOOST_TEST((monitor.nextProbeAt(at(3), true) == at(2)));
@@ -201,13 +200,13 @@
     BOOST_TEST((monitor.nextProbeAt(at(60), false) == at(60)), "after a gap the next proof is urgent");
 }
 
-BOOST_AUTO_TEST_CASE(AreDueAtOnceAfterTrouble)
+BOOST_AUTO_TEST_CASE(AreDueAtOnceAfterAFailedRequest)
 {
     settledRound(0, 7);
     monitor.onTrouble(at(10));
     BOOST_TEST((monitor.nextProbeAt(at(10), false) <= at(10)));
     settledRound(11, 7);
-    BOOST_TEST((monitor.nextProbeAt(at(13), false) == at(61)), "one round answers the trouble");
+    BOOST_TEST((monitor.nextProbeAt(at(13), false) == at(61)), "one round after the failure is enough");
 }
 
 BOOST_AUTO_TEST_CASE(KeepFewWatermarksAndJudgeAgesOfSeconds)
@@ -265,7 +264,7 @@
     BOOST_TEST(!monitor.agrees("a", 0, at(160)), "an opinion about an earlier term must not count");
 }
 
-BOOST_AUTO_TEST_CASE(LeaveARunningPromotionItsTime)
+BOOST_AUTO_TEST_CASE(GiveARunningPromotionTime)
 {
     settledRound(0, 7);
     const RoundId round = monitor.beginRound(at(50)).id;
@@ -285,16 +284,15 @@
     monitor.onAnnounced(2, "b", at(60));
     BOOST_TEST(!monitor.suspicion(at(500)).has_value());
     BOOST_TEST(monitor.snapshot()->primary == "b");
-    BOOST_TEST(!monitor.snapshot()->primaryConfirmed, "a word of another host is not a proof");
+    BOOST_TEST(!monitor.snapshot()->primaryConfirmed, "an announcement of another host is not a proof");
     monitor.onAnnounced(1, "a", at(61));
     BOOST_TEST(monitor.snapshot()->primary == "b", "a late announcement of an earlier term must be dropped");
 }
 
-// Symptom: no write is ever confirmed again, although all upstreams answer.
-// Sequence: a led term 1 and was cut off; b was promoted in term 2 by a promoter
-// that lost its answer and fenced c for term 3 before it died. Everybody answers:
-// a stands by 1, b by 2, c by 3.
-// Cause: only an unreachable or missing primary was suspected; b is neither.
+// All upstreams answer, but no write is confirmed: a led term 1 and was cut off; b was
+// promoted in term 2 by a promoter that lost the answer and crashed after it fenced c for
+// term 3. Now a stands by 1, b by 2 and c by 3. The primary b is neither unreachable nor
+// missing, so the split promises themselves must raise the suspicion.
 BOOST_AUTO_TEST_CASE(AreRaisedBySplitPromises)
 {
     for (int i = 0; i < 30; ++i) {
@@ -322,7 +320,7 @@
 
 BOOST_AUTO_TEST_CASE(DoNotOverlapWhenOneUpstreamReplacesAnother)
 {
-    // {a, c} of the old list and {b, d} of the new one share nobody.
+    // {a, c} of the old list and {b, d} of the new one have no common member.
     BOOST_TEST(!majoritiesOverlap({"a", "b", "c"}, {"b", "c", "d"}));
     BOOST_TEST(!majoritiesOverlap({"a", "b", "c"}, {"d", "e", "f"}));
 }
@@ -373,7 +371,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// Groups whose replaced primaries know that they are replaced.
+// Groups whose replaced primaries detect their replacement.
 namespace
 {
 
@@ -402,11 +400,11 @@
     BOOST_TEST((monitor.newestWatermark()->mark == LogMark{1, 7}));
 }
 
-BOOST_AUTO_TEST_CASE(TakeTheMarksOfTheReplacedOneWithThem)
+BOOST_AUTO_TEST_CASE(DropTheWatermarksOfTheReplacedOne)
 {
-    // Symptom: after a change of primary every bounded read is refused for a while.
-    // Sequence: a watermark of the old primary names an entry that the new one lacks.
-    // Cause: watermarks were kept over the change.
+    // A watermark of the old primary may name an entry that the new one lacks. If
+    // watermarks were kept over the change, every bounded read would be refused for a
+    // while.
     monitor.onStatus(monitor.beginRound(at(0)).id, primary("a", 1, 500), at(2));
     monitor.onStatus(monitor.beginRound(at(10)).id, primary("b", 2, 400), at(12));
     BOOST_TEST(monitor.snapshot()->primary == "b");
@@ -416,13 +414,13 @@
     BOOST_TEST(monitor.snapshot()->watermarks.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(StayInForceWhileReplicasAreHeldBack)
+BOOST_AUTO_TEST_CASE(StayInForceWhileReplicasAreFenced)
 {
     const RoundId round = monitor.beginRound(at(0)).id;
     monitor.onStatus(round, primary("a", 1, 7), at(2));
     monitor.onStatus(round, status("b", 5, {1, 7}), at(2));
     monitor.onStatus(round, status("c", 5, {1, 7}), at(2));
-    BOOST_TEST(monitor.snapshot()->primary == "a", "held replicas are no majority against a primary that leads");
+    BOOST_TEST(monitor.snapshot()->primary == "a", "fenced replicas are no majority against a primary that leads");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/groupmutations_test.cpp
+++ b/tests/core/groupmutations_test.cpp
@@ -1,6 +1,6 @@
-// Shows that each mechanism is needed: with it switched off, the checks that hold
-// for the whole (group_test.cpp) must find a violation. And the differential test:
-// the naive version of the same job must be caught by the same checks.
+// Shows that each mechanism is needed: with it switched off, the invariants that hold
+// otherwise (group_test.cpp) must be violated. A differential test checks that the same
+// invariants detect the faults of a simple lease-based design.
 
 #define BOOST_TEST_MODULE GroupMutations
 #include <boost/test/unit_test.hpp>
@@ -36,7 +36,7 @@
     const std::string violation = firstViolation(mutate);
     BOOST_TEST(violation.find(expected) != std::string::npos,
                "expected a violation with '" << expected << "', found '" << violation
-                                             << "'; if none: the schedules no longer reach it");
+                                             << "'; if none, the schedules no longer reach it");
 }
 
 } // namespace
@@ -48,7 +48,7 @@
     checkCaught("acknowledged", [](WorldOptions &options) { options.gate.withoutMajority = true; });
 }
 
-BOOST_AUTO_TEST_CASE(PrimaryOnlyOnThePrimarysWordIsCaught)
+BOOST_AUTO_TEST_CASE(PrimaryOnlyOnThePrimarysStatusAloneIsCaught)
 {
     checkCaught("replaced primary", [](WorldOptions &options) {
         options.durability = Durability::PrimaryOnly;
@@ -97,7 +97,7 @@
     checkCaught("acknowledged", [](WorldOptions &options) { options.monitor.faults.trustAfterClockGap = true; });
 }
 
-BOOST_AUTO_TEST_CASE(ConfirmingAPrimaryOnItsOwnWordIsCaught)
+BOOST_AUTO_TEST_CASE(ConfirmingAPrimaryOnItsOwnStatusAloneIsCaught)
 {
     checkCaught("watermark", [](WorldOptions &options) { options.monitor.faults.confirmWithoutMajority = true; });
 }
@@ -106,13 +106,11 @@
 
 BOOST_AUTO_TEST_SUITE(Naive)
 
-// Symptom: a payment is confirmed to a caller and missing afterwards.
-// Sequence: the primary cannot be reached from one host; the host takes the lease in
-// the store and promotes the replica that answers; the old primary goes on writing
-// and other hosts go on acknowledging.
-// Cause: a lease in the store says nothing to the group, and a primary's own word
-// says nothing about its successor.
-BOOST_AUTO_TEST_CASE(LeaseAndPrimarysWordAreCaughtWhereEgrettideHolds)
+// The simple design takes a lease in the store when its host cannot reach the primary, and
+// promotes any replica that answers. The old primary continues to write, and other hosts
+// continue to acknowledge its writes, which are then missing: a lease in the store does not
+// bind the group, and a primary's own answer does not exclude a successor.
+BOOST_AUTO_TEST_CASE(ALeaseAndThePrimarysStatusAloneAreCaughtWhereEgrettideHolds)
 {
     std::size_t naiveViolations = 0;
     std::size_t violations = 0;
--- a/tests/core/promoter_test.cpp
+++ b/tests/core/promoter_test.cpp
@@ -1,5 +1,5 @@
-// The steps of a promotion, one decision at a time. What many promoters do to each
-// other under faults is proved in group_test.cpp.
+// Tests the steps of a promotion, one decision at a time. The interaction of several
+// promoters under faults is tested in group_test.cpp.
 
 #define BOOST_TEST_MODULE Promoter
 #include <boost/test/unit_test.hpp>
@@ -57,11 +57,11 @@
         ControlAnswer answer;
         answer.status.upstream = upstream;
         answer.status.promisedTerm = promised;
-        answer.status.promisedTo = "somebody else";
+        answer.status.promisedTo = "another promoter";
         return answer;
     }
 
-    void remember(const PromoterActions &actions)
+    void storeAttempt(const PromoterActions &actions)
     {
         const auto fences = only<SendFence>(actions);
         BOOST_REQUIRE(!fences.empty());
@@ -76,7 +76,7 @@
         const auto asked = only<AskOpinions>(promoter.onSuspicion(suspicion, 4, at(milliseconds)));
         BOOST_REQUIRE_EQUAL(asked.size(), 1U);
         promoter.onOpinion(asked[0].attempt, "c", true, at(milliseconds));
-        remember(promoter.onRecordRead(asked[0].attempt, std::nullopt, at(milliseconds)));
+        storeAttempt(promoter.onRecordRead(asked[0].attempt, std::nullopt, at(milliseconds)));
     }
 
     // Runs it on to the promotion of c.
@@ -100,7 +100,7 @@
     const auto asked = only<AskOpinions>(promoter.onSuspicion(suspicion, 4, at(0)));
     BOOST_REQUIRE_EQUAL(asked.size(), 1U);
     BOOST_TEST(promoter.onOpinion(asked[0].attempt, "b", true, at(1)).empty(), "its own home must not count twice");
-    BOOST_TEST(promoter.onOpinion(asked[0].attempt, "x", true, at(1)).empty(), "a stranger must not count");
+    BOOST_TEST(promoter.onOpinion(asked[0].attempt, "x", true, at(1)).empty(), "an unknown home must not count");
     BOOST_TEST(only<ReadRecord>(promoter.onOpinion(asked[0].attempt, "c", true, at(1))).size() == 1U);
 }
 
@@ -131,10 +131,9 @@
     BOOST_TEST(only<GiveUp>(promoter.onOpinion(asked[0].attempt, "c", false, at(1))).size() == 1U);
 }
 
-// Symptom: no write goes through although the primary and all hosts are well.
-// Sequence: the network cuts the primary off from its own zone only. Its home there
-// suspects it and asks; the other homes reach it and disagree, for ever.
-// Cause: a majority's view of the primary, while writes go through one home.
+// The network separates the primary from its own zone only. Its home there suspects it, but
+// the other homes reach it and disagree. Writes go only through that home, so they would
+// stop for as long as the majority's opinion decides.
 BOOST_AUTO_TEST_CASE(OfOthersDoNotBindThePrimarysOwnHomeForEver)
 {
     const Suspicion own{SuspicionReason::PrimarySilent, "b", 4};
@@ -150,7 +149,7 @@
     BOOST_TEST(reached);
 }
 
-BOOST_AUTO_TEST_CASE(AreNeededEvenByThePrimarysOwnHomeWhenItHearsNobody)
+BOOST_AUTO_TEST_CASE(AreNeededByThePrimarysOwnHomeThatGetsNoAnswers)
 {
     const Suspicion own{SuspicionReason::PrimarySilent, "b", 4};
     for (int milliseconds = 0; milliseconds <= 5000; milliseconds += 50) {
@@ -246,7 +245,7 @@
     reachClaim(*this, {10, finished});
 }
 
-BOOST_AUTO_TEST_CASE(ThatConflictWithAMereAnnouncementAreMadeAgain)
+BOOST_AUTO_TEST_CASE(ThatConflictWithAnAnnouncementOnlyAreMadeAgain)
 {
     const AttemptId claiming = reachClaim(*this, {9, {}}).attempt;
     GroupRecord announced;
@@ -255,7 +254,7 @@
     const auto claims = only<ClaimInStore>(promoter.onClaim(claiming, {ClaimResult::Conflict, {11, announced}}, at(2)));
     BOOST_REQUIRE_EQUAL(claims.size(), 1U);
     BOOST_TEST(claims[0].expectedVersion == 11U);
-    BOOST_TEST(claims[0].record.primary == "a", "a claim must not wipe what is announced");
+    BOOST_TEST(claims[0].record.primary == "a", "a claim must keep the announced primary");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -281,7 +280,7 @@
     Promoter next{{"bookings", "b", "10.0.0.2/1"}, {{"b", "zone-b", false}}, 7};
     const auto asked = only<ReadRecord>(next.onSuspicion(suspicion, 4, at(700)));
     BOOST_REQUIRE_EQUAL(asked.size(), 1U);
-    remember(next.onRecordRead(asked[0].attempt, std::nullopt, at(700)));
+    storeAttempt(next.onRecordRead(asked[0].attempt, std::nullopt, at(700)));
     BOOST_TEST(token != first, "a home that moves away and back must not share promises with its former promoter");
 }
 
@@ -293,7 +292,7 @@
     BOOST_TEST(only<SendPromote>(promoter.onTimer(at(40))).empty());
 }
 
-BOOST_AUTO_TEST_CASE(DoNotCountAPromiseToSomebodyElse)
+BOOST_AUTO_TEST_CASE(DoNotCountAPromiseToAnotherPromoter)
 {
     reachFences();
     promoter.onFence(attempt, granted("b", {4, 10}), at(2));
@@ -353,10 +352,9 @@
     BOOST_TEST(term == 9U);
 }
 
-// Symptom: a failover in a store outage takes half a second more than others.
-// Sequence: a is dead; this home has the promise of b, another one that of c; both
-// wait for a until their time is over.
-// Cause: waiting for the one member that is suspected to be dead.
+// During a store outage, with a failed, this home may hold the promise of b and another one
+// that of c. Both must not wait for the suspected primary a until their timeout, which
+// would prolong the failover by half a second.
 BOOST_AUTO_TEST_CASE(DoNotWaitForTheSuspectedPrimaryOnceOutbid)
 {
     reachFences();
@@ -366,10 +364,9 @@
     BOOST_TEST((ended[0].reason == GiveUpReason::Outbid));
 }
 
-// Symptom: writes are gone for half a second after a failover in a store outage.
-// Sequence: two homes fence at the same moment and refuse each other; both back off;
-// both wait until their monitors have missed a primary for long enough.
-// Cause: only the monitor's patience started the next attempt, not the backoff.
+// During a store outage two homes may fence at the same time, refuse each other and back
+// off. The next attempt must start after the backoff: if only the monitor's
+// noPrimaryTimeout started it, writes would be unavailable for half a second longer.
 BOOST_AUTO_TEST_CASE(ThatAreOutbidAreRepeatedAfterTheBackoffUnlessAPrimaryAppears)
 {
     reachFences();
@@ -421,16 +418,15 @@
     BOOST_TEST(!promoter.running());
 }
 
-// Symptom: two primaries in one term, each with writes that the other lacks.
-// Sequence: the order to promote reaches c, its answer is lost; the promoter turns to
-// b, which has promised the same term to the same token.
-// Cause: taking a missing answer for a promotion that did not happen.
+// The order to promote reaches c, but its answer is lost. If the promoter then ordered b,
+// which promised the same term to the same token, the term would have two primaries, each
+// with writes that the other lacks.
 BOOST_AUTO_TEST_CASE(NeverOrderASecondCandidateInTheSameTerm)
 {
     reachPromotion();
     const Term first = term;
     const std::string firstToken = token;
-    remember(promoter.onMemberFailed(attempt, "c", at(10)));
+    storeAttempt(promoter.onMemberFailed(attempt, "c", at(10)));
     BOOST_TEST(term == first + 1);
     BOOST_TEST(token != firstToken);
 }
@@ -468,7 +464,7 @@
 
 BOOST_AUTO_TEST_CASE(OfAPlannedChangePreferTheSuccessorAmongEqualsOnly)
 {
-    remember(promoter.startPlanned("c", 4, at(0)));
+    storeAttempt(promoter.startPlanned("c", 4, at(0)));
     promoter.onFence(attempt, granted("a", {4, 10}, UpstreamRole::Fenced), at(1));
     promoter.onFence(attempt, granted("b", {4, 10}), at(1));
     const auto promotions = only<SendPromote>(promoter.onFence(attempt, granted("c", {4, 10}), at(1)));
@@ -478,7 +474,7 @@
 
 BOOST_AUTO_TEST_CASE(OfAPlannedChangeNeverLoseAWriteForTheSuccessor)
 {
-    remember(promoter.startPlanned("c", 4, at(0)));
+    storeAttempt(promoter.startPlanned("c", 4, at(0)));
     promoter.onFence(attempt, granted("a", {4, 11}, UpstreamRole::Fenced), at(1));
     promoter.onFence(attempt, granted("b", {4, 10}), at(1));
     const auto promotions = only<SendPromote>(promoter.onFence(attempt, granted("c", {4, 10}), at(1)));
@@ -523,12 +519,10 @@
     BOOST_TEST(only<SendFollow>(promoter.onTimer(at(200))).size() == 1U);
 }
 
-// Symptom: no write is confirmed any more although a primary was promoted.
-// Sequence: the promoter orders b to lead term 2, loses the answer, fences c for term
-// 3 and dies. a still leads term 1 and was never told of term 2: b stands alone.
-// Cause: orders to follow were given for confirmed primaries only, and b cannot be
-// confirmed before a follows it.
-BOOST_AUTO_TEST_CASE(AreToldBeforeThePrimaryIsConfirmed)
+// A promoter orders b to lead term 2, loses the answer, fences c for term 3 and crashes. a
+// still leads term 1 and has no order to follow b. If orders to follow were sent only for
+// confirmed primaries, b would never be confirmed, since that requires a to follow it.
+BOOST_AUTO_TEST_CASE(AreOrderedBeforeThePrimaryIsConfirmed)
 {
     const std::vector<MemberStatus> statuses{member("a", 1, 1, UpstreamRole::Primary), member("b", 2, 2, UpstreamRole::Primary),
                                              member("c", 3, 1, UpstreamRole::Replica)};
@@ -579,14 +573,14 @@
         return asked[0].attempt;
     }
 
-    // Runs it up to the order under a claim of that version.
+    // Runs an attempt up to the order to promote, under a claim of that version.
     std::vector<SendPromote> order(std::uint64_t version, int milliseconds = 0)
     {
         const AttemptId asked = agreed(milliseconds);
         const auto claims = only<ClaimInStore>(ordered->onRecordRead(asked, VersionedRecord{version - 1, {}}, at(milliseconds)));
         BOOST_REQUIRE_EQUAL(claims.size(), 1U);
         ClaimAnswer claimed{ClaimResult::Claimed, VersionedRecord{version, claims[0].record}};
-        remember(ordered->onClaim(asked, claimed, at(milliseconds)));
+        storeAttempt(ordered->onClaim(asked, claimed, at(milliseconds)));
         ordered->onFence(attempt, granted("b", {4, 10}), at(milliseconds + 2));
         ordered->onFence(attempt, granted("c", {4, 11}), at(milliseconds + 2));
         return only<SendPromote>(ordered->onMemberFailed(attempt, "a", at(milliseconds + 3)));
@@ -609,10 +603,8 @@
 
 BOOST_AUTO_TEST_CASE(AreNotGivenWithoutAClaim)
 {
-    // Symptom: two holders promote under one fencing token.
-    // Sequence: the store does not answer; the promoter goes on as if the claim were
-    // a hint.
-    // Cause: without a claim there is no number that nobody else uses.
+    // Without a claim there is no unique fencing token. If the promoter continued while the
+    // store does not answer, two holders could promote under one token.
     const AttemptId asked = agreed();
     const auto ended = only<GiveUp>(ordered->onRecordRead(asked, std::nullopt, at(1)));
     BOOST_REQUIRE_EQUAL(ended.size(), 1U);
@@ -621,10 +613,9 @@
 
 BOOST_AUTO_TEST_CASE(AreGivenOnceForEachClaim)
 {
-    // Symptom: a promotion that was overtaken is carried out all the same.
-    // Sequence: an order is unanswered; it is sent again, or another candidate is
-    // ordered under the same token, and the first one is carried out last.
-    // Cause: an order without an answer was taken for one that was lost.
+    // An unanswered order may still be carried out. If it were sent again, or another
+    // candidate ordered under the same token, the first order could be carried out last,
+    // after it was superseded.
     order(41);
     for (int milliseconds = 10; milliseconds < 290; milliseconds += 20) {
         BOOST_TEST(only<SendPromote>(ordered->onTimer(at(milliseconds))).empty(), "an order was sent twice");
@@ -634,17 +625,16 @@
     BOOST_REQUIRE_EQUAL(only<GiveUp>(ended).size(), 1U);
 }
 
-BOOST_AUTO_TEST_CASE(NeedNoWordOfMembersThatLeave)
+BOOST_AUTO_TEST_CASE(NeedNoAnswerOfMembersThatLeave)
 {
-    // Symptom: a group stands without a primary for as long as a zone is cut off.
-    // Sequence: the primary is released, its replacement starts in the same zone, the
-    // zone is cut off; the two members outside are no majority of four.
-    // Cause: a member that leaves counted like one that stays.
+    // The primary is being removed and its replacement starts in the same zone, which is
+    // then cut off. The two members outside are no majority of four, so if a leaving member
+    // counted, the group would have no primary until the cut ends.
     ordered->setMembers({{"a", "zone-a", true}, {"b", "zone-b", false}, {"c", "zone-c", false}, {"d", "zone-a", false}}, at(0));
     const AttemptId asked = agreed();
     const auto claims = only<ClaimInStore>(ordered->onRecordRead(asked, VersionedRecord{40, {}}, at(1)));
     BOOST_REQUIRE_EQUAL(claims.size(), 1U);
-    remember(ordered->onClaim(asked, ClaimAnswer{ClaimResult::Claimed, VersionedRecord{41, claims[0].record}}, at(1)));
+    storeAttempt(ordered->onClaim(asked, ClaimAnswer{ClaimResult::Claimed, VersionedRecord{41, claims[0].record}}, at(1)));
     ordered->onFence(attempt, granted("b", {4, 10}), at(2));
     ordered->onFence(attempt, granted("c", {4, 11}), at(2));
     auto orders = only<SendPromote>(ordered->onMemberFailed(attempt, "a", at(3)));
@@ -655,19 +645,18 @@
     BOOST_TEST(orders[0].upstream == "c");
 }
 
-BOOST_AUTO_TEST_CASE(AreGivenAnewSoonWhenNobodyAnswersThem)
+BOOST_AUTO_TEST_CASE(AreGivenUpSoonWhenUnanswered)
 {
-    // Symptom: no write for seconds after a primary was lost.
-    // Sequence: the order to promote is carried out late or never, and not answered.
-    // Cause: an order without an answer was waited for like one that was taken.
+    // An unanswered order may be carried out late or never. If it were waited for as long
+    // as an accepted one, writes would stop for seconds after the loss of the primary.
     order(41);
     BOOST_REQUIRE(ordered->nextTimerAt().has_value());
-    BOOST_TEST((*ordered->nextTimerAt() > at(3)), "a timer in the past would fire without end");
+    BOOST_TEST((*ordered->nextTimerAt() > at(3)), "a timer in the past would fire repeatedly");
     BOOST_TEST(only<GiveUp>(ordered->onTimer(at(300))).empty());
     BOOST_REQUIRE_EQUAL(only<GiveUp>(ordered->onTimer(at(420))).size(), 1U);
 }
 
-BOOST_AUTO_TEST_CASE(ThatWereTakenHaveTheirTime)
+BOOST_AUTO_TEST_CASE(ThatWereAcceptedGetMoreTime)
 {
     order(41);
     ControlAnswer taken;
@@ -684,14 +673,14 @@
     ControlAnswer taken;
     taken.granted = true;
     taken.status.upstream = "c";
-    BOOST_TEST(ordered->onPromote(attempt, taken, at(5)).empty(), "an order that was taken is not yet carried out");
+    BOOST_TEST(ordered->onPromote(attempt, taken, at(5)).empty(), "an accepted order is not yet carried out");
     GroupSnapshot snapshot;
     snapshot.term = orders[0].term;
     snapshot.primary = "c";
     BOOST_TEST(only<Announce>(ordered->onGroup(snapshot, {}, at(200))).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(LeaveNoMemberHeldBack)
+BOOST_AUTO_TEST_CASE(ReleaseMembersFencedByAFailedPromoter)
 {
     GroupSnapshot snapshot;
     snapshot.term = 4;
@@ -703,7 +692,7 @@
     ordered->onGroup(snapshot, {held}, at(0));
     BOOST_TEST(only<SendFollow>(ordered->onTimer(at(100))).empty(), "a promotion may be under way; it needs time");
     PromoterActions late = ordered->onGroup(snapshot, {held}, at(5000));
-    BOOST_TEST(only<SendFollow>(late).size() == 1U, "nobody lets a member go on that a dead promoter held back");
+    BOOST_TEST(only<SendFollow>(late).size() == 1U, "a member fenced by a failed promoter was not ordered to follow");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/statementproof_test.cpp
+++ b/tests/core/statementproof_test.cpp
@@ -1,4 +1,5 @@
-// What ordinary answers prove, and whom a round need not ask because of them.
+// Tests what answers to ordinary statements prove, and which members a round need not probe
+// because of them.
 
 #define BOOST_TEST_MODULE StatementProof
 #include <boost/test/unit_test.hpp>
@@ -40,7 +41,7 @@
     return options;
 }
 
-// An observer at the home of "a", the primary.
+// An observer at the home of the primary "a".
 struct Fixture {
     GroupMonitor monitor{"bookings", {{"a", "x", false}, {"b", "y", false}, {"c", "z", false}}, options(true)};
 
@@ -69,12 +70,13 @@
         monitor.onStatementAnswer({statusOf(upstream, role, {1, position}), at(sentAt), leads}, at(sentAt + 3));
     }
 
-    // Who is asked if nothing answers but the primary's statements, until then.
-    std::vector<std::string> askedUntil(int milliseconds, bool primaryTalks)
+    // The members probed until `milliseconds`, while only statements of the primary are
+    // answered besides probes.
+    std::vector<std::string> askedUntil(int milliseconds, bool primaryAnswers)
     {
         std::vector<std::string> asked;
         for (int now = 10; now <= milliseconds; now += 10) {
-            if (primaryTalks && now % 50 == 0) {
+            if (primaryAnswers && now % 50 == 0) {
                 answer("a", now, 10 + static_cast<Position>(now), true);
             }
             if (monitor.nextProbeAt(at(now), false) <= at(now)) {
@@ -98,7 +100,7 @@
 
 BOOST_AUTO_TEST_CASE(OfAPrimaryThatLeadsStandInForProbes)
 {
-    // Past the time after the first change in which all members are asked often.
+    // Beyond the time after the first change in which all members are probed often.
     askedUntil(6000, true);
     answer("a", 6001, 7000, true);
     BOOST_TEST((monitor.newestWatermark()->mark == LogMark{1, 7000}));
@@ -110,9 +112,9 @@
 {
     const auto asked = askedUntil(20000, true);
     BOOST_TEST(countOf(asked, "a") == 0, "a primary that answers every 50 ms was asked " << countOf(asked, "a") << " times");
-    // 5 s at the idle interval after the change, then one call in 3 s.
+    // 5 s at the idle interval after the change, then one probe every 3 s.
     BOOST_TEST(countOf(asked, "b") <= 16, "a member of another home was asked " << countOf(asked, "b") << " times in 20 s");
-    BOOST_TEST(countOf(asked, "b") >= 14, "a member that may be held back was forgotten");
+    BOOST_TEST(countOf(asked, "b") >= 14, "a member of another home was not probed often enough");
 }
 
 BOOST_AUTO_TEST_CASE(ThatStopAreFollowedByProbesWithinTheIdleInterval)
@@ -122,7 +124,7 @@
     BOOST_TEST((monitor.nextProbeAt(at(6001), false) <= at(6500)));
     const ProbeRound round = monitor.beginRound(at(6500), RoundScope::Silent);
     BOOST_TEST(std::ranges::count(round.upstreams, "a") == 1, "a silent primary was not asked");
-    // Not answered: the next one leaves sooner, and the suspicion rises.
+    // While it is unanswered, the next probe is sent sooner, and the suspicion is raised.
     BOOST_TEST((monitor.nextProbeAt(at(6501), false) <= at(6750)));
     monitor.beginRound(at(6750), RoundScope::Silent);
     for (int now = 6750; now < 9000; now += 50) {
@@ -131,41 +133,39 @@
     BOOST_TEST(monitor.suspicion(at(9000)).has_value(), "a primary that answers nothing was not suspected");
 }
 
-BOOST_AUTO_TEST_CASE(ThatProveNoLeadProveNoState)
+BOOST_AUTO_TEST_CASE(ThatDoNotProveLeadershipProveNoState)
 {
-    // Symptom: a caller reads state that the group has moved past.
-    // Sequence: a primary is replaced and goes on answering reads; its position is
-    // taken for all that was acknowledged.
-    // Cause: any answer of the primary counted as a proof that it leads.
+    // A replaced primary may continue to answer reads. If any of its answers proved that it
+    // leads, its position would count as everything acknowledged, and a caller would read
+    // an outdated state.
     const auto before = monitor.newestWatermark();
     answer("a", 100, 50, false);
     BOOST_TEST((monitor.newestWatermark()->sentAt == before->sentAt));
     answer("b", 110, 60, true);
     BOOST_TEST((monitor.newestWatermark()->sentAt == before->sentAt), "an upstream that is not the primary proved a state");
-    BOOST_TEST((monitor.nextProbeAt(at(500), false) <= at(500)), "a read kept the primary from being asked");
+    BOOST_TEST((monitor.nextProbeAt(at(500), false) <= at(500)), "a read kept the primary from being probed");
 }
 
-BOOST_AUTO_TEST_CASE(LeaveTheRoundsOfAChangeWhole)
+BOOST_AUTO_TEST_CASE(DoNotShortenRoundsOfAChange)
 {
     answer("a", 100, 50, true);
     BOOST_TEST(monitor.beginRound(at(110), RoundScope::All).upstreams.size() == 3U);
     BOOST_TEST(monitor.beginRound(at(130), RoundScope::Proof).upstreams.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(ReleaseAStepDownAsProbesDo)
+BOOST_AUTO_TEST_CASE(DoNotUndoAStepDown)
 {
     const ProbeRound round = monitor.beginRound(at(600), RoundScope::All);
     monitor.onStatus(round.id, statusOf("a", UpstreamRole::Replica, {2, 20}), at(602));
     BOOST_TEST(monitor.snapshot()->primary.empty());
     answer("a", 601, 20, true);
-    BOOST_TEST(monitor.snapshot()->primary.empty(), "an answer from before the step down made it the primary again");
+    BOOST_TEST(monitor.snapshot()->primary.empty(), "an answer sent before the step-down made it the primary again");
 }
 
-// Symptom: half of a day's status calls are made in the 6 s in which a zone is cut off.
-// Sequence: the primary is lost to one side; reads go on waiting there.
-// Cause: who waited made the observer ask whoever it reached every 20 ms. A member that has
-// been asked becomes the primary only by an order, which is announced.
-// In 6 s without a primary: 300 rounds before, 28 now.
+// While a zone is cut off from the primary, waiting reads must not make its observer probe
+// the reachable members every 20 ms: the cut of 6 s caused half of a day's status calls. A
+// member becomes the primary only by an order, which is announced. In 6 s without a
+// primary: 300 rounds with waiting reads counted, 28 without.
 BOOST_AUTO_TEST_CASE(LookForAPrimaryAtIntervalsOfTheirOwn)
 {
     const ProbeRound lost = monitor.beginRound(at(600), RoundScope::All);
@@ -180,7 +180,7 @@
     }
     BOOST_TEST(rounds == 28, rounds << " rounds");
     monitor.onTrouble(at(6610));
-    BOOST_TEST((monitor.nextProbeAt(at(6610), false) <= at(6630)), "whoever asks for an opinion has to wait for a look");
+    BOOST_TEST((monitor.nextProbeAt(at(6610), false) <= at(6630)), "an opinion would have to wait too long for a round");
 }
 
 BOOST_AUTO_TEST_CASE(WithoutTheOptionChangeNoRound)
--- a/tests/core/switchover_test.cpp
+++ b/tests/core/switchover_test.cpp
@@ -1,4 +1,4 @@
-// The order of steps in a planned change, and the way back out of each.
+// Tests the order of steps in a planned change, and how each step is aborted.
 
 #define BOOST_TEST_MODULE Switchover
 #include <boost/test/unit_test.hpp>
@@ -29,7 +29,7 @@
             return done->failure;
         }
     }
-    BOOST_FAIL("the change is not over; it should be");
+    BOOST_FAIL("the planned change has not ended");
     return std::nullopt;
 }
 
@@ -56,7 +56,7 @@
         return start + std::chrono::milliseconds(milliseconds);
     }
 
-    // A snapshot whose newest proof left at the given time.
+    // A snapshot whose newest watermark was sent at the given time.
     const GroupSnapshot &provenAt(int milliseconds, Position primary, Position successor)
     {
         snapshot.watermarks = {{at(milliseconds), {4, primary}}};
@@ -117,7 +117,7 @@
     BOOST_TEST(holds<ResumeWrites>(switchover.cancel(at(1))));
     switchover.start(snapshot, "b", 0, at(2));
     switchover.onSnapshot(provenAt(3, 10, 10), at(4));
-    BOOST_TEST(switchover.cancel(at(5)).empty(), "after the fence there is no way back");
+    BOOST_TEST(switchover.cancel(at(5)).empty(), "a change cannot be cancelled after the fence");
     BOOST_TEST(switchover.running());
 }
 
@@ -129,7 +129,7 @@
     BOOST_TEST((failure(ended) == SwitchoverFailure::ClockGap));
 }
 
-BOOST_AUTO_TEST_CASE(LeaveAFailedPromotionToTheOrdinaryOne)
+BOOST_AUTO_TEST_CASE(LeaveAFailedPromotionToAnUnplannedOne)
 {
     switchover.start(snapshot, "b", 0, at(0));
     switchover.onSnapshot(provenAt(3, 10, 10), at(4));
