--- a/src/core/group/commitgate.cpp
+++ b/src/core/group/commitgate.cpp
@@ -1,4 +1,4 @@
-// Evidence of members about terms, and the commits that it releases.
+// Records what members prove about terms, and resolves the commits that this proves.
 
 #include "egrettide/core/commitgate.h"
 
@@ -48,7 +48,7 @@
 std::vector<CommitResolution> CommitGate::add(CommitId id, Term sentUnder, const MemberStatus &after, TimePoint deadline,
                                               TimePoint now)
 {
-    learn(after, now);
+    recordEvidence(after, now);
     const bool stillLeads = after.role == UpstreamRole::Primary && after.promisedTerm == sentUnder
         && after.followingTerm == sentUnder && after.received.term == sentUnder;
     if (!stillLeads && !m_faults.ignorePromises) {
@@ -60,7 +60,7 @@
 
 std::vector<CommitResolution> CommitGate::onMemberStatus(const MemberStatus &status, TimePoint sentAt)
 {
-    learn(status, sentAt);
+    recordEvidence(status, sentAt);
     return resolve();
 }
 
@@ -109,10 +109,10 @@
     return m_members.size() / 2 + 1;
 }
 
-// A status proves what its member held while it still stood by the term: a member
-// that has promised more may hold the entry, but a promoter may have read its mark
-// before the entry came, so it counts no more.
-void CommitGate::learn(const MemberStatus &status, TimePoint sentAt)
+// A status proves what its member held only while the member had promised no higher term. A
+// member that has promised more may hold the entry, but a promoter may have read its mark
+// before the entry arrived, so it does not count.
+void CommitGate::recordEvidence(const MemberStatus &status, TimePoint sentAt)
 {
     const auto member = std::ranges::find(m_members, status.upstream, &Member::upstream);
     if (member == m_members.end()) {
@@ -178,8 +178,8 @@
     return reachedBy(std::move(times), m_faults.withoutMajority ? 1 : majority());
 }
 
-// Keeps what held commits need and the newest term; the rest would grow with the
-// number of failovers.
+// Keeps only the evidence of the newest term and of terms with held commits; otherwise the
+// evidence would grow with the number of failovers.
 void CommitGate::forgetOldTerms()
 {
     for (Member &member : m_members) {
--- a/src/core/group/freshnessgate.cpp
+++ b/src/core/group/freshnessgate.cpp
@@ -1,5 +1,5 @@
-// FreshnessGate: what a member of a group is proven to show, and whether waiting
-// for more pays.
+// Decides what a member of a group is proven to show, and whether a read should wait for
+// more.
 
 #include "egrettide/core/freshnessgate.h"
 
@@ -18,14 +18,14 @@
     return found == snapshot.members.end() ? nullptr : &*found;
 }
 
-// The one upstream that the snapshot's term belongs to. It holds every entry that
+// The only upstream that is the primary of the snapshot's term. It holds every entry that
 // was ever acknowledged under this term or a lower one.
 bool isPrimary(const GroupSnapshot &snapshot, const MemberView &member)
 {
     return member.upstream == snapshot.primary && member.followingTerm == snapshot.term;
 }
 
-// What a wait for the reason has to replay up to.
+// The mark that a member has to replay before `reason` no longer applies.
 LogMark wantedMark(const FreshnessRequest &request, const GroupSnapshot &snapshot, FreshnessReason reason)
 {
     if (reason == FreshnessReason::Floor && request.freshness.floor) {
@@ -71,48 +71,48 @@
     if (member == nullptr) {
         return GoElsewhere{FreshnessReason::Unreachable};
     }
-    const Case about{request, snapshot, *member, now};
+    const DecisionInputs inputs{request, snapshot, *member, now};
     if (m_options.upstreamChecksMarks) {
-        return decideByMark(about);
+        return decideByMark(inputs);
     }
-    if (const auto reason = firstObstacle(about)) {
-        return waitOrLeave(about, *reason);
+    if (const auto reason = firstObstacle(inputs)) {
+        return waitOrRedirect(inputs, *reason);
     }
     return Serve{member->replayed, std::nullopt};
 }
 
-// A watermark that was taken since the accepted age covers all that the read has to
-// see, so an upstream whose log holds it is fresh enough, whatever it follows.
-GateDecision FreshnessGate::decideByMark(const Case &about) const
+// A watermark that is younger than the accepted age covers everything that the read has to
+// see. An upstream whose log holds it is fresh enough, whatever term it follows.
+GateDecision FreshnessGate::decideByMark(const DecisionInputs &inputs) const
 {
-    const Freshness &wanted = about.request.freshness;
-    if (!about.member.reachable) {
-        return waitOrLeave(about, FreshnessReason::Unreachable);
+    const Freshness &wanted = inputs.request.freshness;
+    if (!inputs.member.reachable) {
+        return waitOrRedirect(inputs, FreshnessReason::Unreachable);
     }
-    Serve serve{about.member.replayed, std::nullopt};
+    Serve serve{inputs.member.replayed, std::nullopt};
     if (wanted.floor) {
-        serve.requiredMark = markOfFloor(about);
+        serve.requiredMark = markOfFloor(inputs);
         if (!serve.requiredMark) {
-            return waitOrLeave(about, FreshnessReason::Unconfirmed);
+            return waitOrRedirect(inputs, FreshnessReason::Unconfirmed);
         }
     }
     if (wanted.maxAge || wanted.latest) {
-        // Later, not at the same moment; see confirmedSince.
+        // Strictly later; see confirmedSince.
         const TimePoint oldest =
-            wanted.latest ? about.request.receivedAt + Clock::duration{1} : about.now + m_options.sendMargin - *wanted.maxAge;
-        const auto mark = markOfAge(about, oldest);
+            wanted.latest ? inputs.request.receivedAt + Clock::duration{1} : inputs.now + m_options.sendMargin - *wanted.maxAge;
+        const auto mark = markOfAge(inputs, oldest);
         if (!mark) {
-            return waitOrLeave(about, wanted.latest ? FreshnessReason::Latest : FreshnessReason::Age);
+            return waitOrRedirect(inputs, wanted.latest ? FreshnessReason::Latest : FreshnessReason::Age);
         }
         serve.requiredMark = std::max(serve.requiredMark.value_or(*mark), *mark);
     }
     return serve;
 }
 
-// The lowest mark that is recent enough: most replicas hold it.
-std::optional<LogMark> FreshnessGate::markOfAge(const Case &about, TimePoint oldest)
+// The lowest mark that is recent enough, since most replicas hold it.
+std::optional<LogMark> FreshnessGate::markOfAge(const DecisionInputs &inputs, TimePoint oldest)
 {
-    for (const Watermark &watermark : about.snapshot.watermarks) {
+    for (const Watermark &watermark : inputs.snapshot.watermarks) {
         if (watermark.sentAt >= oldest) {
             return watermark.mark;
         }
@@ -120,186 +120,188 @@
     return std::nullopt;
 }
 
-// What goes wrong with a floor of an earlier term: the change of primary may have
-// given that entry up, no log will ever hold it, and every read of the session is
-// refused. Any mark taken under the present term covers all of an earlier term that
-// is still there.
-std::optional<LogMark> FreshnessGate::markOfFloor(const Case &about)
+// A floor of an earlier term is replaced by the newest mark of the current term, which
+// covers all remaining entries of earlier terms. The change of the primary may have
+// discarded the entry of the floor; no log would ever hold it, and every read of the
+// session would be refused.
+std::optional<LogMark> FreshnessGate::markOfFloor(const DecisionInputs &inputs)
 {
-    const LogMark floor = *about.request.freshness.floor;
-    if (floor.term >= about.snapshot.term) {
+    const LogMark floor = *inputs.request.freshness.floor;
+    if (floor.term >= inputs.snapshot.term) {
         return floor;
     }
-    if (about.snapshot.watermarks.empty()) {
+    if (inputs.snapshot.watermarks.empty()) {
         return std::nullopt;
     }
-    return about.snapshot.watermarks.back().mark;
+    return inputs.snapshot.watermarks.back().mark;
 }
 
 std::optional<FreshnessReason> FreshnessGate::obstacle(const FreshnessRequest &request, const GroupSnapshot &snapshot,
                                                        const MemberView &member, TimePoint now) const
 {
-    return firstObstacle(Case{request, snapshot, member, now});
+    return firstObstacle(DecisionInputs{request, snapshot, member, now});
 }
 
-std::optional<FreshnessReason> FreshnessGate::firstObstacle(const Case &about) const
+std::optional<FreshnessReason> FreshnessGate::firstObstacle(const DecisionInputs &inputs) const
 {
-    if (!about.member.reachable) {
+    if (!inputs.member.reachable) {
         return FreshnessReason::Unreachable;
     }
-    if (m_options.checks.following && !follows(about)) {
+    if (m_options.checks.following && !follows(inputs)) {
         return FreshnessReason::NotFollowing;
     }
-    if (const auto reason = floorObstacle(about)) {
+    if (const auto reason = floorObstacle(inputs)) {
         return reason;
     }
-    if (const auto reason = latestObstacle(about)) {
+    if (const auto reason = latestObstacle(inputs)) {
         return reason;
     }
-    return ageObstacle(about);
+    return ageObstacle(inputs);
 }
 
-// What goes wrong otherwise: an upstream that still follows a replaced primary, or
-// has not been told whom to follow, may show entries that the group gave up. Its
-// reader would see a booking appear and vanish.
-bool FreshnessGate::follows(const Case &about) const
+// An upstream that still follows a replaced primary, or has not yet received an order to
+// follow, may show entries that the group has discarded. A reader would see a write appear
+// and disappear.
+bool FreshnessGate::follows(const DecisionInputs &inputs) const
 {
-    return about.snapshot.term != 0 && about.member.followingTerm == about.snapshot.term;
+    return inputs.snapshot.term != 0 && inputs.member.followingTerm == inputs.snapshot.term;
 }
 
-bool FreshnessGate::shows(LogMark mark, const Case &about) const
+bool FreshnessGate::shows(LogMark mark, const DecisionInputs &inputs) const
 {
-    return about.member.replayed >= mark || (isPrimary(about.snapshot, about.member) && mark.term <= about.snapshot.term);
+    return inputs.member.replayed >= mark || (isPrimary(inputs.snapshot, inputs.member) && mark.term <= inputs.snapshot.term);
 }
 
-// The primary of a term holds every acknowledged entry up to that term, so a probe
-// that is older than the session's last write need not hold up the read behind it.
-bool FreshnessGate::floorHolds(LogMark floor, const Case &about) const
+// The primary of a term holds every acknowledged entry up to that term, so a probe that is
+// older than the session's last write does not have to delay the read after it.
+bool FreshnessGate::floorHolds(LogMark floor, const DecisionInputs &inputs) const
 {
     if (!m_options.checks.floorTerm) {
-        return about.member.replayed.position >= floor.position;
+        return inputs.member.replayed.position >= floor.position;
     }
-    return shows(floor, about);
+    return shows(floor, inputs);
 }
 
-// A floor above a mark confirmed after the floor was fixed names entries that the
-// group does not have: forged, or from before a restored backup. An honest floor
-// never exceeds such a mark, so the confirmed mark is as good, and a bogus floor
-// cannot make a read wait for ever.
-std::optional<FreshnessReason> FreshnessGate::floorObstacle(const Case &about) const
+// A floor above a mark that was confirmed after the floor was fixed names entries that the
+// group does not have: it is forged, or from before a backup was restored. A valid floor
+// never exceeds such a mark, so the confirmed mark is sufficient, and an invalid floor
+// cannot block a read indefinitely.
+std::optional<FreshnessReason> FreshnessGate::floorObstacle(const DecisionInputs &inputs) const
 {
-    const auto &floor = about.request.freshness.floor;
-    if (!m_options.checks.floor || !floor || floorHolds(*floor, about)) {
+    const auto &floor = inputs.request.freshness.floor;
+    if (!m_options.checks.floor || !floor || floorHolds(*floor, inputs)) {
         return std::nullopt;
     }
-    const auto &since = about.request.floorSince;
-    if (since && confirmedSince(*since, about)) {
+    const auto &since = inputs.request.floorSince;
+    if (since && confirmedSince(*since, inputs)) {
         return std::nullopt;
     }
     return FreshnessReason::Floor;
 }
 
-// Later, not at the same moment: a round and a receipt that read the clock alike may
-// have come in either order, and a write acknowledged between them would be missed.
-bool FreshnessGate::confirmedSince(TimePoint since, const Case &about) const
+// Strictly later: a round and a receipt with equal clock readings may have happened in
+// either order, and a write acknowledged between them would be missed.
+bool FreshnessGate::confirmedSince(TimePoint since, const DecisionInputs &inputs) const
 {
-    if (!m_options.checks.confirmation && isPrimary(about.snapshot, about.member)) {
+    if (!m_options.checks.confirmation && isPrimary(inputs.snapshot, inputs.member)) {
         return true;
     }
-    const auto &watermarks = about.snapshot.watermarks;
-    return std::any_of(watermarks.rbegin(), watermarks.rend(), [this, since, &about](const Watermark &watermark) {
-        return watermark.sentAt > since && shows(watermark.mark, about);
+    const auto &watermarks = inputs.snapshot.watermarks;
+    return std::any_of(watermarks.rbegin(), watermarks.rend(), [this, since, &inputs](const Watermark &watermark) {
+        return watermark.sentAt > since && shows(watermark.mark, inputs);
     });
 }
 
-std::optional<FreshnessReason> FreshnessGate::latestObstacle(const Case &about) const
+std::optional<FreshnessReason> FreshnessGate::latestObstacle(const DecisionInputs &inputs) const
 {
-    if (!m_options.checks.latest || !about.request.freshness.latest || confirmedSince(about.request.receivedAt, about)) {
+    if (!m_options.checks.latest || !inputs.request.freshness.latest || confirmedSince(inputs.request.receivedAt, inputs)) {
         return std::nullopt;
     }
-    return about.snapshot.primaryConfirmed ? FreshnessReason::Latest : FreshnessReason::Unconfirmed;
+    return inputs.snapshot.primaryConfirmed ? FreshnessReason::Latest : FreshnessReason::Unconfirmed;
 }
 
-std::optional<FreshnessReason> FreshnessGate::ageObstacle(const Case &about) const
+std::optional<FreshnessReason> FreshnessGate::ageObstacle(const DecisionInputs &inputs) const
 {
-    const auto &maxAge = about.request.freshness.maxAge;
+    const auto &maxAge = inputs.request.freshness.maxAge;
     if (!maxAge) {
         return std::nullopt;
     }
-    const TimePoint oldest = about.now + m_options.sendMargin - *maxAge;
-    const auto &watermarks = about.snapshot.watermarks;
-    const bool fresh = std::any_of(watermarks.rbegin(), watermarks.rend(), [this, oldest, &about](const Watermark &watermark) {
-        return watermark.sentAt >= oldest && shows(watermark.mark, about);
+    const TimePoint oldest = inputs.now + m_options.sendMargin - *maxAge;
+    const auto &watermarks = inputs.snapshot.watermarks;
+    const bool fresh = std::any_of(watermarks.rbegin(), watermarks.rend(), [this, oldest, &inputs](const Watermark &watermark) {
+        return watermark.sentAt >= oldest && shows(watermark.mark, inputs);
     });
-    if (fresh || (!m_options.checks.confirmation && isPrimary(about.snapshot, about.member))) {
+    if (fresh || (!m_options.checks.confirmation && isPrimary(inputs.snapshot, inputs.member))) {
         return std::nullopt;
     }
-    return about.snapshot.primaryConfirmed ? FreshnessReason::Age : FreshnessReason::Unconfirmed;
+    return inputs.snapshot.primaryConfirmed ? FreshnessReason::Age : FreshnessReason::Unconfirmed;
 }
 
 std::optional<milliseconds> FreshnessGate::provenAge(const GroupSnapshot &snapshot, const MemberView &member, TimePoint now) const
 {
     const FreshnessRequest none{};
-    const Case about{none, snapshot, member, now};
-    if (!follows(about)) {
+    const DecisionInputs inputs{none, snapshot, member, now};
+    if (!follows(inputs)) {
         return std::nullopt;
     }
     const auto &watermarks = snapshot.watermarks;
     const auto newest = std::find_if(watermarks.rbegin(), watermarks.rend(),
-                                     [this, &about](const Watermark &watermark) { return shows(watermark.mark, about); });
+                                     [this, &inputs](const Watermark &watermark) { return shows(watermark.mark, inputs); });
     if (newest == watermarks.rend()) {
         return std::nullopt;
     }
     return std::chrono::ceil<milliseconds>(now - newest->sentAt);
 }
 
-// What goes wrong without the wait for a member of which nothing is known yet: a home has
-// just been taken, by a host that has just started, or since the upstream itself has, and
-// its first look at the group is under way. A read that comes meanwhile is refused as if the
-// upstream could not be reached, by one home after the other.
-GateDecision FreshnessGate::awaitFirstWord(const Case &about) const
+// Waits for the first status of a member whose state is not known yet: its home was just
+// taken over, this host or the upstream itself has just started, and the first probe is
+// outstanding. Without the wait, a read that arrives in that time would be refused as
+// unreachable by one home after the other.
+GateDecision FreshnessGate::awaitFirstStatus(const DecisionInputs &inputs) const
 {
-    const TimePoint budget = std::min(about.request.deadline, about.request.replicaWaitUntil);
-    const bool waits = !about.member.judged && about.now < budget && m_options.waitPolicy != WaitPolicy::Never;
+    const TimePoint budget = std::min(inputs.request.deadline, inputs.request.replicaWaitUntil);
+    const bool waits = !inputs.member.judged && inputs.now < budget && m_options.waitPolicy != WaitPolicy::Never;
     return waits ? GateDecision(WaitUntil{budget, FreshnessReason::Unreachable}) : GoElsewhere{FreshnessReason::Unreachable};
 }
 
-GateDecision FreshnessGate::waitOrLeave(const Case &about, FreshnessReason reason) const
+GateDecision FreshnessGate::waitOrRedirect(const DecisionInputs &inputs, FreshnessReason reason) const
 {
     if (reason == FreshnessReason::Unreachable) {
-        return awaitFirstWord(about);
+        return awaitFirstStatus(inputs);
     }
     if (reason == FreshnessReason::NotFollowing) {
         return GoElsewhere{reason};
     }
-    const bool primary = isPrimary(about.snapshot, about.member);
-    const TimePoint budget = primary ? about.request.deadline : std::min(about.request.deadline, about.request.replicaWaitUntil);
-    const TimePoint ready = predictedReady(about, reason);
+    const bool primary = isPrimary(inputs.snapshot, inputs.member);
+    const TimePoint budget =
+        primary ? inputs.request.deadline : std::min(inputs.request.deadline, inputs.request.replicaWaitUntil);
+    const TimePoint ready = predictedReady(inputs, reason);
     const bool waits = primary || m_options.waitPolicy == WaitPolicy::WholeBudget
         || (m_options.waitPolicy == WaitPolicy::Predict && reason != FreshnessReason::Unconfirmed && ready <= budget);
-    if (!waits || about.now >= budget) {
+    if (!waits || inputs.now >= budget) {
         return GoElsewhere{reason};
     }
-    const TimePoint soon = std::min(ready, about.now + m_options.recheck);
-    return WaitUntil{std::min(budget, std::max(soon, about.now + milliseconds{1})), reason};
+    const TimePoint soon = std::min(ready, inputs.now + m_options.recheck);
+    return WaitUntil{std::min(budget, std::max(soon, inputs.now + milliseconds{1})), reason};
 }
 
-// The moment at which the observer will probably know that the member has caught
-// up. An unknown replay rate counts as fast: the budget bounds the mistake.
-TimePoint FreshnessGate::predictedReady(const Case &about, FreshnessReason reason) const
+// The time at which the observer is expected to know that the member has caught up. An
+// unknown replay rate counts as fast, since the budget limits the cost of a wrong
+// prediction.
+TimePoint FreshnessGate::predictedReady(const DecisionInputs &inputs, FreshnessReason reason) const
 {
     using Seconds = std::chrono::duration<double>;
-    const TimePoint nextKnown = about.now + m_options.nextSnapshot;
-    const Position wanted = wantedMark(about.request, about.snapshot, reason).position;
-    const Position replayed = about.member.replayed.position;
-    const double rate = about.member.replayRate;
+    const TimePoint nextKnown = inputs.now + m_options.nextSnapshot;
+    const Position wanted = wantedMark(inputs.request, inputs.snapshot, reason).position;
+    const Position replayed = inputs.member.replayed.position;
+    const double rate = inputs.member.replayRate;
     if (wanted <= replayed || rate <= 0) {
         return nextKnown;
     }
     const Seconds needed(static_cast<double>(wanted - replayed) / rate);
-    // A bogus floor may be further away than any clock counts.
+    // An invalid floor may be too far away for the clock's range.
     const Seconds bounded = std::min(needed, Seconds(std::chrono::hours(1)));
-    const TimePoint caughtUp = about.member.observedAt + std::chrono::duration_cast<Clock::duration>(bounded);
+    const TimePoint caughtUp = inputs.member.observedAt + std::chrono::duration_cast<Clock::duration>(bounded);
     return std::max(nextKnown, caughtUp);
 }
 
