--- a/include/egrettide/core/calleradmission.h
+++ b/include/egrettide/core/calleradmission.h
@@ -1,4 +1,4 @@
-// Whose request it is: from the key that a caller shows to the workspace that holds it.
+// Admission of callers: finds the workspace that the key of a session belongs to.
 
 #pragma once
 
@@ -13,13 +13,13 @@
 namespace egrettide
 {
 
-// The name of the workspace that holds `key`, under this version of the configuration.
-// Empty for callers that belong to none and are served all the same: where the
-// configuration asks for no keys, or the route admits unknown ones.
+// The name of the workspace that `key` belongs to, under this version of the configuration.
+// Empty for callers without a workspace that are admitted nevertheless: the configuration
+// requires no keys, or the route admits unknown ones.
 //
 // AuthenticationFailed for any other key, whether the route exists or not: an answer that
-// depended on it would tell strangers which databases there are. The message does not
-// repeat the key.
+// depended on the route would reveal to unauthenticated callers which databases exist. The
+// message does not contain the key.
 tl::expected<std::string, Error> workspaceFor(const Configuration &configuration, std::string_view routeName,
                                               std::string_view key);
 
--- a/include/egrettide/core/classifier.h
+++ b/include/egrettide/core/classifier.h
@@ -1,7 +1,7 @@
-// Says what a statement may do, as PostgreSQL's own parser (libpg_query) proves
-// it. Only statements proven to read may leave the primary or run twice, so
-// everything unproven counts as a write, and what would leave state behind on a
-// shared upstream connection is refused before it is sent.
+// Classifies SQL statements with PostgreSQL's own parser (libpg_query). Only
+// statements proven to be read-only may run on a replica or run twice, so all
+// others count as writes. Statements that would leave state behind on a shared
+// upstream connection are refused before they are sent.
 
 #pragma once
 
@@ -22,7 +22,7 @@
 {
 
 // What a statement does to settings or prepared statements of its session. The
-// front answers it alone; no upstream sees it.
+// front (the part of a host that serves callers) answers it without an upstream.
 enum class SettingAction {
     // SET name = value.
     Set,
@@ -30,7 +30,7 @@
     Show,
     // RESET name; an empty name stands for RESET ALL.
     Reset,
-    // DISCARD ALL: settings back to their defaults, prepared statements gone.
+    // DISCARD ALL: resets all settings and drops all prepared statements.
     Discard,
     // DEALLOCATE name; an empty name stands for all prepared statements.
     Deallocate,
@@ -38,59 +38,60 @@
 
 struct Setting {
     SettingAction action = SettingAction::Set;
-    // In lower case; `egrettide.*` settings go to SessionState, all others are
-    // harmless ones that need an answer only.
+    // In lower case. `egrettide.*` settings are applied to SessionState; any other
+    // setting that gets here has no effect on results and is only acknowledged.
     std::string name;
     std::string value;
 
     friend bool operator==(const Setting &, const Setting &) = default;
 };
 
-// What the classifier found out about one statement text.
+// The classification of one query string, which may hold several statements.
 struct Classification {
     StatementKind kind = StatementKind::Write;
-    // Meaningful for StatementKind::Refused alone: nothing has run.
+    // Valid only for StatementKind::Refused: nothing has run.
     Error error;
-    // In order, for StatementKind::Setting alone.
+    // In order; set only for StatementKind::Setting.
     std::vector<Setting> settings;
     // True when the text holds more than one statement.
     bool multiStatement = false;
     // True when the text holds no statement, such as ";": the front answers
     // EmptyQueryResponse. The kind is then Setting with no settings.
     bool empty = false;
-    // True when the statement reads state of its own connection (currval,
-    // lastval). Outside a transaction it would show what another session left
-    // there, so the front refuses it with `transactionOnlyError()`.
+    // True when the statement reads state of its connection (currval, lastval).
+    // Outside a transaction it would return the state of another session, so the
+    // front refuses it with `transactionOnlyError()`.
     bool transactionOnly = false;
 };
 
-// The refusal of a `transactionOnly` statement outside a transaction.
+// The error for a `transactionOnly` statement outside a transaction.
 Error transactionOnlyError();
 
-// Classifies statements and remembers the answers by text. Not safe for threads:
-// each traffic thread has its own.
+// Classifies query strings and caches the results in an LRU cache. Not
+// thread-safe: each traffic thread has its own.
 class Classifier
 {
 public:
     static constexpr std::size_t defaultCapacity = 4096;
 
-    // Remembers up to `capacity` texts, the least recently used leave first.
+    // Caches up to `capacity` results and evicts the least recently used one first.
     explicit Classifier(std::size_t capacity = defaultCapacity);
     Classifier(const Classifier &) = delete;
     Classifier &operator=(const Classifier &) = delete;
 
-    // Never throws for any bytes. Text that the parser rejects is a Write: the
-    // primary then gives its own error. The pointer stays valid after eviction.
+    // Accepts arbitrary bytes and never throws. Text that the parser rejects is a
+    // Write, so that the primary reports the syntax error. The returned pointer
+    // stays valid after eviction.
     std::shared_ptr<const Classification> classify(std::string_view sql);
 
-    // Answers taken from memory so far, for metrics.
+    // Number of cache hits so far, for metrics.
     std::size_t hits() const;
     std::size_t size() const;
 
 private:
     using Entry = std::pair<std::string, std::shared_ptr<const Classification>>;
 
-    void remember(std::string_view sql, const std::shared_ptr<const Classification> &result);
+    void insert(std::string_view sql, const std::shared_ptr<const Classification> &result);
 
     std::size_t m_capacity;
     std::size_t m_hits = 0;
@@ -103,7 +104,7 @@
 namespace detail
 {
 
-// Classifies without any memory of earlier texts.
+// Classifies without the cache.
 Classification classifyText(std::string_view sql);
 
 } // namespace detail
--- a/include/egrettide/core/sessionstate.h
+++ b/include/egrettide/core/sessionstate.h
@@ -1,5 +1,6 @@
-// What a front knows about one caller's session: its options, its floor and its
-// open transaction. It turns them into the freshness that each statement needs.
+// The state that a front (the part of a host that serves callers) keeps of one
+// caller's session: its options, its floor (the mark that its reads must reach) and
+// its open transaction. Derives the freshness that each statement requires.
 
 #pragma once
 
@@ -20,17 +21,17 @@
 namespace egrettide
 {
 
-// How fresh a session asks its reads to be, on top of its own floor.
+// The freshness that a session requires of its reads, in addition to its floor.
 enum class FreshnessMode {
-    // Its own writes and reads are seen; no bound on age.
+    // Reads see the session's own writes and earlier reads; age is not bounded.
     Session,
-    // As Session, and no older than a stated age.
+    // As Session, and data is no older than a given age.
     MaxAge,
-    // Every write acknowledged before the read was received is seen.
+    // Reads see every write that was acknowledged before the read was received.
     Latest,
 };
 
-// What holds for a session whose caller sets nothing.
+// The options of a session whose caller sets none.
 struct SessionDefaults {
     std::string database;
     std::string tenant;
@@ -43,15 +44,15 @@
     std::optional<milliseconds> maxAge;
     // True to start in FreshnessMode::Latest; `maxAge` is then unset.
     bool latest = false;
-    // True when a session is one connection and nothing before: it arrives with
-    // nothing that it could have to see.
+    // True when a session is exactly one connection, so that no earlier work
+    // exists that its reads would have to see: its floor starts complete.
     bool startsKnown = false;
-    // False to let reads show an older state than an earlier read did, within the
-    // accepted age; the session's own writes are seen all the same.
+    // False to let reads return an older state than an earlier read did, within the
+    // accepted age; reads see the session's own writes in any case.
     //
-    // What goes wrong otherwise while replicas lag: one read by the primary binds the
-    // session's next reads to it, they bind the following ones, and the primary's slots
-    // go to reads that any replica could have served.
+    // With true, while replicas lag, one read served by the primary raises the floor
+    // above all replicas, so that the session's next reads go to the primary as well
+    // and use its slots although any replica could have served them.
     bool readsRaiseFloor = true;
 };
 
@@ -64,11 +65,11 @@
 constexpr std::string_view className = "egrettide.class";
 // A time such as '500ms' or '2s'; a plain number counts milliseconds.
 constexpr std::string_view timeout = "egrettide.timeout";
-// on or off: the caller's word that running its statements twice is harmless.
+// on or off; on declares that the session's statements may safely run twice.
 constexpr std::string_view idempotent = "egrettide.idempotent";
-// The token. Reported after each answer that moves the floor.
+// The session token. Reported to the caller after each answer that changes it.
 constexpr std::string_view session = "egrettide.session";
-// Shown only.
+// Read-only.
 constexpr std::string_view tenant = "egrettide.tenant";
 } // namespace settingnames
 
@@ -77,25 +78,26 @@
 public:
     using Parameters = std::vector<std::pair<std::string, std::string>>;
 
-    // `arrivedAt` is the receipt of the startup message on this host's clock.
+    // `arrivedAt` is the time of receipt of the startup message on this host's clock.
     SessionState(SessionDefaults defaults, std::shared_ptr<const SessionTokenCodec> codec, TimePoint arrivedAt);
 
-    // Takes `egrettide.*` parameters of the startup message, and those inside its
-    // `options` parameter (`-c name=value` or `--name=value`). Others are left
-    // alone. A bad token is no error here: after a change of keys it would lock
-    // callers out, and as an unknown arrival the session loses a little time only.
+    // Applies the `egrettide.*` parameters of the startup message, and those inside
+    // its `options` parameter (`-c name=value` or `--name=value`); ignores all others.
+    // An invalid token is no error here, since that would lock callers out after a
+    // change of keys: the floor stays incomplete, and the first read takes longer.
     tl::expected<void, Error> applyStartup(const Parameters &parameters);
-    // Why the token of the startup message was not taken; empty when it was, or none came.
+    // Why the token of the startup message was rejected; empty when it was accepted or absent.
     const std::string &tokenRefusal() const;
 
-    // SET, SHOW and RESET of one `egrettide.*` setting; InvalidInput names the allowed values.
+    // SET, SHOW and RESET of one `egrettide.*` setting. The InvalidInput error names
+    // the allowed values.
     tl::expected<void, Error> set(std::string_view name, std::string_view value);
     tl::expected<std::string, Error> show(std::string_view name) const;
     tl::expected<void, Error> reset(std::string_view name);
-    // Takes over new defaults, for a route that was changed, and forgets what the
-    // caller set on top of them. The floor and the transaction stay.
+    // Replaces the defaults after a change of the route and resets what the caller
+    // set. The floor and the transaction are kept.
     void setDefaults(SessionDefaults defaults);
-    // RESET ALL and DISCARD ALL. The floor stays: it is what the caller has seen.
+    // RESET ALL and DISCARD ALL. Keeps the floor, which records what the caller has seen.
     void resetAll();
 
     const std::string &database() const;
@@ -105,31 +107,32 @@
     bool idempotent() const;
     FreshnessMode mode() const;
 
-    // What a statement of this kind has to see. Statements inside a transaction
-    // ask for nothing: BEGIN did, and they stay on its connection.
+    // The freshness that a statement of this kind requires. Statements inside a
+    // transaction require none: BEGIN did, and they run on its connection.
     Freshness freshnessFor(StatementKind kind) const;
-    // The moment from which Freshness::latest counts for a statement received at
-    // `receivedAt`; goes into StatementRequest::receivedAt. All that a session did
-    // elsewhere was acknowledged before it arrived here, so an unknown arrival may
-    // use any confirmation made since then and mostly waits for none.
+    // The time to which Freshness::latest refers for a statement received at
+    // `receivedAt`; goes into StatementRequest::receivedAt. All work of the session on
+    // other hosts was acknowledged before it arrived here, so a session whose floor is
+    // incomplete may use any confirmation since its arrival and rarely has to wait.
     TimePoint freshSince(TimePoint receivedAt) const;
 
-    // Takes StatementReply::seen of an answer to a request that asked for `asked`.
-    // Raises the floor. True when the token changed and is to be reported.
+    // Processes StatementReply::seen of the answer to a request that required
+    // `asked`, and raises the floor. True when the token changed and is to be reported.
     //
-    // What goes wrong without the second argument: an unknown arrival whose first
-    // answer proves nothing (a transaction's inner statement) would count as known,
-    // and its next read could miss its own writes made through another host.
+    // `asked` is needed because only an answer to Freshness::latest covers the
+    // session's earlier work. If any answer completed the floor (such as that of a
+    // statement inside a transaction), the next read could miss writes that the
+    // session made through another host.
     bool onSeen(LogMark mark, const Freshness &asked, StatementKind kind);
 
     const std::optional<LogMark> &floor() const;
-    // True until the session's floor is known.
-    bool unknownArrival() const;
-    // The token to hand to the caller; empty while the floor is unknown.
+    // True until the floor covers all that the session did before it arrived.
+    bool isFloorIncomplete() const;
+    // The token to report to the caller; empty while the floor is incomplete.
     std::string token() const;
 
-    // Follows ReadyForQuery: 'I', 'T' or 'E', the home's number of the transaction
-    // and the upstream that holds it.
+    // Records the state of ReadyForQuery ('I', 'T' or 'E'), the number that the home
+    // gave the transaction, and the upstream that runs it.
     void onTransactionState(char state, std::uint64_t transaction, std::string_view upstream);
     bool inTransaction() const;
     std::uint64_t transaction() const;
@@ -142,7 +145,7 @@
     tl::expected<void, Error> setClass(std::string_view value);
     tl::expected<void, Error> setTimeout(std::string_view value);
     tl::expected<void, Error> setIdempotent(std::string_view value);
-    tl::expected<void, Error> takeToken(std::string_view value);
+    tl::expected<void, Error> applyToken(std::string_view value);
     void raiseFloor(LogMark mark);
 
     SessionDefaults m_defaults;
@@ -157,10 +160,10 @@
     // Invariant: set exactly when m_mode is MaxAge.
     std::optional<milliseconds> m_maxAge;
 
-    // Never falls.
+    // Invariant: never decreases.
     std::optional<LogMark> m_floor;
-    // False as soon as m_floor covers all that the session did before it arrived.
-    bool m_unknownArrival = true;
+    // True until m_floor covers all that the session did before it arrived.
+    bool m_floorIncomplete = true;
 
     char m_transactionState = 'I';
     std::uint64_t m_transaction = 0;
@@ -170,8 +173,8 @@
 namespace detail
 {
 
-// Reads "250", "250ms", "2s" or "1min"; nothing for anything else, for zero and
-// for more than a day.
+// Parses "250" (milliseconds), "250ms", "2s" or "1min". Empty for anything else,
+// for zero and for more than a day.
 std::optional<milliseconds> parseDuration(std::string_view text);
 
 } // namespace detail
--- a/include/egrettide/core/sessiontoken.h
+++ b/include/egrettide/core/sessiontoken.h
@@ -1,5 +1,5 @@
-// Carries a session's floor with its caller, so that any host can take the
-// session over although hosts keep nothing.
+// Session tokens: the caller carries its session's floor from host to host, since
+// hosts don't store sessions.
 
 #pragma once
 
@@ -15,7 +15,8 @@
 namespace egrettide
 {
 
-// The last mark that a session has written or seen in one database.
+// The floor of a session: the last mark that it has written or seen in one
+// database, which its reads must reach.
 struct SessionFloor {
     std::string database;
     LogMark mark;
@@ -26,26 +27,27 @@
 // Encodes and decodes tokens: version, database and mark under a truncated
 // HMAC-SHA256, in base64url.
 //
-// What can go wrong: a token is damaged, forged, replayed late, or belongs to a
-// group that was restored from a backup. A damaged or forged one fails its check
-// and is refused; the session then counts as arriving without one. A mark beyond
-// everything the group ever wrote cannot be told from a very new one here, so
-// FreshnessGate ends its wait: a confirmed read of the primary's position made
-// after the request's receipt bounds every honest floor, so a floor above it asks
-// for no more than that. Either way it costs freshness work and no answer is wrong.
+// A token may be damaged, forged, replayed late, or issued before the group was
+// restored from a backup. A damaged or forged token fails verification and is
+// refused; the session is then treated as one without a token. A mark beyond the end
+// of the group's log can't be distinguished here from a very recent one, so
+// FreshnessGate bounds the wait for it: no valid floor exceeds a primary position
+// that was confirmed after the request's receipt, so a higher floor requires that
+// position only. Either way reads may take longer, but no answer is wrong.
 class SessionTokenCodec
 {
 public:
     static constexpr std::size_t maxTokenBytes = 160;
 
-    // Signs with the first key and accepts all of them, so that keys can be
-    // changed host by host. No key at all leaves a checksum only: damage is found,
-    // forgery is not, and a forger may see less than its own session wrote.
+    // Signs with the first key and accepts all of them, so that keys can be rotated
+    // host by host. Without any key the MAC is only a checksum: it detects damage but
+    // no forgery, and the reads of a session with a forged token may miss its own writes.
     explicit SessionTokenCodec(std::vector<std::string> keys);
 
     std::string encode(const SessionFloor &floor) const;
     // InvalidInput for anything that `encode` did not make with one of the keys.
-    // The caller compares the database: a token of another one says nothing.
+    // The user of this function has to compare the database: a token of another one
+    // is of no use.
     tl::expected<SessionFloor, Error> decode(std::string_view token) const;
 
 private:
--- a/include/egrettide/core/transactionfailure.h
+++ b/include/egrettide/core/transactionfailure.h
@@ -1,5 +1,5 @@
-// What a failed statement means for the transaction that it belongs to, and what its
-// caller may be told.
+// Errors of statements inside a transaction: what a failure means for the transaction,
+// and which error the caller gets.
 
 #pragma once
 
@@ -12,17 +12,18 @@
 // One failed statement of an open transaction.
 struct FailedStatement {
     StatementKind kind = StatementKind::Write;
-    // True when its text may hold more statements than one, a COMMIT among them.
+    // True when its text may hold several statements, including a COMMIT.
     bool mayHoldSeveral = false;
-    // True when it had left for the upstream.
+    // True when it had been sent to the upstream.
     bool sent = false;
 };
 
-// The error for the caller. The transaction is to be rolled back in any case, so all
-// of it counts as not run, unless a COMMIT may have taken effect.
+// The error to return to the caller. The transaction is rolled back in any case, so
+// all of it counts as not run, unless a COMMIT may have taken effect.
 Error errorInTransaction(const FailedStatement &statement, Error error);
 
-// True when the caller still has to end the transaction: it has not asked for its end.
+// True when the transaction stays aborted until the caller ends it, that is, when the
+// failed statement was neither COMMIT nor ROLLBACK.
 bool leavesAborted(StatementKind kind);
 
 } // namespace egrettide
--- a/src/core/sessions/builtinfunctions.cpp
+++ b/src/core/sessions/builtinfunctions.cpp
@@ -1,5 +1,6 @@
-// Lists of PostgreSQL's own functions. A function that is missing from the first
-// list costs a replica read; one that is wrong in it could write on a replica.
+// Lists of PostgreSQL functions. A call of a function that is missing from
+// readOnlyFunctions goes to the primary, although a replica could serve it; a function
+// that is listed there by mistake could write on a replica.
 
 #include "core/sessions/builtinfunctions.h"
 
@@ -13,7 +14,7 @@
 namespace
 {
 
-// Grouped as in the chapters of PostgreSQL's manual on functions.
+// Grouped as in the PostgreSQL manual's chapter on functions.
 constexpr std::string_view readOnlyFunctions[] = {
     // Aggregates.
     "count",
@@ -326,7 +327,7 @@
     "height",
     "width",
     "radius",
-    // The system's catalogues, as drivers and psql read them.
+    // Functions for the system catalogs, as drivers and psql call them.
     "version",
     "current_database",
     "current_schema",
--- a/src/core/sessions/builtinfunctions.h
+++ b/src/core/sessions/builtinfunctions.h
@@ -1,4 +1,4 @@
-// The functions of PostgreSQL that the classifier knows by name.
+// Lists of PostgreSQL functions that the classifier treats specially.
 
 #pragma once
 
@@ -9,14 +9,15 @@
 {
 
 // True for functions of pg_catalog that are immutable or stable, plus pg_sleep and
-// clock_timestamp, whose repetition harms nobody. Functions that are not listed
-// may write, lock or depend on their connection.
+// clock_timestamp, which are safe to repeat. Functions that are not listed may write,
+// lock or depend on their connection.
 bool isReadOnlyFunction(std::string_view name);
 
-// True for advisory locks that last beyond their transaction, and their release.
+// True for functions that take or release session-level advisory locks.
 bool isSessionLockFunction(std::string_view name);
 
-// Words that may not occur in statements that are too long to parse.
+// Words that are forbidden in statements that are too long to parse: functions and
+// objects that could leave state on, or read state of, a shared connection.
 const std::array<std::string_view, 9> &longTextForbiddenWords();
 
 } // namespace egrettide
--- a/src/core/sessions/calleradmission.cpp
+++ b/src/core/sessions/calleradmission.cpp
@@ -1,4 +1,4 @@
-// From a caller's key to its workspace.
+// Admission of callers by their key.
 
 #include "egrettide/core/calleradmission.h"
 
@@ -8,16 +8,15 @@
 tl::expected<std::string, Error> workspaceFor(const Configuration &configuration, std::string_view routeName,
                                               std::string_view key)
 {
-    if (const TenantSpec *holder = configuration.tenantOfKey(key)) {
-        return holder->name;
+    if (const TenantSpec *tenant = configuration.tenantOfKey(key)) {
+        return tenant->name;
     }
     const RouteSpec *route = configuration.route(routeName);
     if (!configuration.asksForKeys || (route != nullptr && route->admitsUnknownKeys)) {
         return std::string();
     }
     return tl::unexpected(Error{ErrorKind::AuthenticationFailed,
-                                "No workspace holds the key of this session; connect with one that is in force.",
-                                milliseconds{0}});
+                                "The key of this session belongs to no workspace; connect with a valid key.", milliseconds{0}});
 }
 
 } // namespace egrettide
--- a/src/core/sessions/classifier.cpp
+++ b/src/core/sessions/classifier.cpp
@@ -1,5 +1,5 @@
-// Classifier: combines the findings of all statements of a text, keeps texts that
-// are too long away from the parser, and remembers answers.
+// Classifier: combines the analyses of all statements of a query string, handles texts
+// that are too long to parse, and caches results.
 
 #include "egrettide/core/classifier.h"
 
@@ -21,24 +21,25 @@
 namespace
 {
 
+using detail::analyzeStatement;
 using detail::BlockEffect;
-using detail::Finding;
-using detail::findStatement;
-using detail::plain;
-using detail::refused;
+using detail::refusedStatement;
+using detail::StatementAnalysis;
+using detail::statementOfKind;
 using parsetree::Json;
 using parsetree::ParsedText;
 using parsetree::SplitText;
 
-// What goes wrong above it: the parser's left-deep trees ("1+1+1...") are written
-// out by recursion, and 100,000 terms overflow an 8 MiB stack; one caller could
-// end the process. Half this many terms fit in a text of this size.
+// Longer statements are not parsed. The parser serializes left-deep trees ("1+1+1...") by
+// recursion: 100,000 terms overflow an 8 MiB stack, so that one caller could crash the
+// process. A text of this size holds about 16,000 terms.
 constexpr std::size_t maxParsedBytes = 32768;
-// Parsing a long text's statements one by one must not hold a traffic thread up.
+// Bounds the time for which the statements of a long text, parsed one by one, block a
+// traffic thread.
 constexpr std::size_t maxLongTextStatements = 64;
-constexpr std::size_t maxRememberedBytes = 8192;
+constexpr std::size_t maxCachedTextBytes = 8192;
 
-// Debian builds Abseil with a string_view of its own.
+// Debian builds Abseil with its own string_view type.
 absl::string_view view(std::string_view text)
 {
     return {text.data(), text.size()};
@@ -49,32 +50,32 @@
     return Error{ErrorKind::Unsupported, std::move(message), milliseconds{0}};
 }
 
-// The findings of a text short enough to parse; nothing when it does not parse.
-std::optional<std::vector<Finding>> findAll(const std::string &sql)
+// The analyses of a text that is short enough to parse; empty on a syntax error.
+std::optional<std::vector<StatementAnalysis>> analyzeAll(const std::string &sql)
 {
     const ParsedText parsed(sql);
     if (parsed.tree() == nullptr) {
         return std::nullopt;
     }
     const Json tree = Json::parse(parsed.tree(), nullptr, false);
-    std::vector<Finding> findings;
+    std::vector<StatementAnalysis> analyses;
     if (tree.is_discarded()) {
-        // The parser copies bytes that are no UTF-8. Passing such a text on unread
-        // would let a statement that has to be refused through.
-        findings.push_back(refused("The statement is not valid UTF-8; set client_encoding to UTF8 and send it again."));
-        return findings;
+        // The parser copies bytes that are not valid UTF-8 into its output. To forward such
+        // a text without analysis could let a statement pass that has to be refusedStatement.
+        analyses.push_back(refusedStatement("The statement is not valid UTF-8; set client_encoding to UTF8 and send it again."));
+        return analyses;
     }
     const auto statements = tree.find("stmts");
     if (statements == tree.end()) {
-        return findings;
+        return analyses;
     }
     for (const Json &statement : *statements) {
         const auto node = statement.find("stmt");
         if (node != statement.end() && !node->empty()) {
-            findings.push_back(findStatement(node->begin().key(), node->begin().value()));
+            analyses.push_back(analyzeStatement(node->begin().key(), node->begin().value()));
         }
     }
-    return findings;
+    return analyses;
 }
 
 bool startsWithWord(std::string_view text, std::string_view word)
@@ -83,9 +84,9 @@
         && (text.size() == word.size() || !absl::ascii_isalnum(static_cast<unsigned char>(text[word.size()])));
 }
 
-// A statement too long to parse: a write if it starts as ordinary data statements
-// do and names no function that would leave state on the connection.
-Finding findLongStatement(std::string_view sql)
+// Analyzes a statement that is too long to parse: a write if it starts with the keyword of
+// a query or data-modifying statement and contains none of longTextForbiddenWords().
+StatementAnalysis analyzeLongStatement(std::string_view sql)
 {
     static constexpr std::array<std::string_view, 7> words = {"insert", "update", "delete", "select", "with", "values", "merge"};
     const absl::string_view stripped = absl::StripLeadingAsciiWhitespace(view(sql));
@@ -93,44 +94,47 @@
     const bool ordinary =
         std::any_of(words.begin(), words.end(), [text](std::string_view word) { return startsWithWord(text, word); });
     if (!ordinary) {
-        return refused("A statement longer than 32 KiB is carried only if it starts with INSERT, UPDATE, DELETE, SELECT, "
-                       "WITH, VALUES or MERGE; shorten it or move comments away from its start.");
+        return refusedStatement(
+            "A statement longer than 32 KiB is supported only if it starts with INSERT, UPDATE, DELETE, SELECT, "
+            "WITH, VALUES or MERGE; shorten it or move comments away from its start.");
     }
     const std::string lower = absl::AsciiStrToLower(view(text));
     for (const std::string_view word : longTextForbiddenWords()) {
         if (absl::StrContains(lower, view(word))) {
-            return refused(absl::StrCat("A statement longer than 32 KiB may not contain ", view(word),
-                                        ": it is too long to be parsed, and this could leave state on a connection that other "
-                                        "sessions share; shorten it or pass values as parameters."));
+            return refusedStatement(
+                absl::StrCat("A statement longer than 32 KiB may not contain ", view(word),
+                             ": it is too long to be parsed, and this could leave state on a connection that other "
+                             "sessions share; shorten it or pass values as parameters."));
         }
     }
-    return plain(StatementKind::Write);
+    return statementOfKind(StatementKind::Write);
 }
 
-std::optional<std::vector<Finding>> findLongText(const std::string &sql)
+std::optional<std::vector<StatementAnalysis>> analyzeLongText(const std::string &sql)
 {
     const SplitText split(sql);
     if (!split.valid()) {
         return std::nullopt;
     }
-    std::vector<Finding> findings;
+    std::vector<StatementAnalysis> analyses;
     if (split.size() > maxLongTextStatements) {
-        findings.push_back(refused("A text longer than 32 KiB may hold 64 statements; send them in several texts."));
-        return findings;
+        analyses.push_back(
+            refusedStatement("A query string longer than 32 KiB may hold at most 64 statements; send them in several queries."));
+        return analyses;
     }
     for (std::size_t i = 0; i < split.size(); ++i) {
         const std::string statement = split.statement(sql, i);
         if (statement.size() > maxParsedBytes) {
-            findings.push_back(findLongStatement(statement));
+            analyses.push_back(analyzeLongStatement(statement));
             continue;
         }
-        auto parsed = findAll(statement);
+        auto parsed = analyzeAll(statement);
         if (!parsed) {
             return std::nullopt;
         }
-        std::move(parsed->begin(), parsed->end(), std::back_inserter(findings));
+        std::move(parsed->begin(), parsed->end(), std::back_inserter(analyses));
     }
-    return findings;
+    return analyses;
 }
 
 Classification refusal(Error error)
@@ -141,12 +145,12 @@
     return result;
 }
 
-Classification combineSettings(const std::vector<Finding> &findings)
+Classification combineSettings(const std::vector<StatementAnalysis> &analyses)
 {
     Classification result;
     result.kind = StatementKind::Setting;
-    for (const Finding &finding : findings) {
-        result.settings.push_back(*finding.setting);
+    for (const StatementAnalysis &analysis : analyses) {
+        result.settings.push_back(*analysis.setting);
     }
     return result;
 }
@@ -156,29 +160,30 @@
     return effect == BlockEffect::Begin || effect == BlockEffect::BeginReadOnly;
 }
 
-// The kind of a text with BEGIN, COMMIT or ROLLBACK among its statements.
+// Classifies a text with BEGIN, COMMIT or ROLLBACK among its statements.
 //
-// What goes wrong if a text could commit and go on: its answer would be confirmed
-// for the last part alone, or not at all while a transaction is open again, so a
-// replaced primary could acknowledge the first part. Such texts are refused.
-Classification combineBlocks(const std::vector<Finding> &findings)
+// Refuses texts that continue after a commit. Their answer would be confirmed for the
+// last part only, or not at all while another transaction is open, so a primary that
+// has been replaced could acknowledge the first part.
+Classification combineBlocks(const std::vector<StatementAnalysis> &analyses)
 {
     Classification result;
     bool open = false;
     bool closed = false;
     bool readOnly = false;
-    for (std::size_t i = 0; i < findings.size(); ++i) {
-        const BlockEffect effect = findings[i].block;
+    for (std::size_t i = 0; i < analyses.size(); ++i) {
+        const BlockEffect effect = analyses[i].block;
         if (isBegin(effect)) {
             if (closed) {
-                return refusal(unsupported("A text that ends a transaction and begins another is not carried; send them apart."));
+                return refusal(unsupported(
+                    "A query string that ends a transaction and begins another is not supported; send them separately."));
             }
             readOnly = !open && i == 0 && effect == BlockEffect::BeginReadOnly;
             open = true;
         } else if (effect != BlockEffect::None) {
-            if (!open && i + 1 != findings.size()) {
-                return refusal(
-                    unsupported("A text that goes on after the end of a transaction is not carried; send the rest apart."));
+            if (!open && i + 1 != analyses.size()) {
+                return refusal(unsupported(
+                    "A query string that continues after the end of a transaction is not supported; send the rest separately."));
             }
             result.kind = effect == BlockEffect::Commit ? StatementKind::Commit : StatementKind::Rollback;
             closed = true;
@@ -187,51 +192,53 @@
     if (open && closed) {
         result.kind = StatementKind::Write;
     } else if (open) {
-        const bool reads = std::all_of(findings.begin() + 1, findings.end(),
-                                       [](const Finding &finding) { return finding.kind == StatementKind::Read; });
+        const bool reads = std::all_of(analyses.begin() + 1, analyses.end(),
+                                       [](const StatementAnalysis &analysis) { return analysis.kind == StatementKind::Read; });
         result.kind = readOnly && reads ? StatementKind::BeginReadOnly : StatementKind::Begin;
     }
     return result;
 }
 
-// True when connection state is read that the text itself did not make.
-bool readsForeignState(const std::vector<Finding> &findings)
+// True when the text reads connection state that it has not set itself.
+bool readsForeignState(const std::vector<StatementAnalysis> &analyses)
 {
-    for (const Finding &finding : findings) {
-        if (finding.transactionOnly) {
+    for (const StatementAnalysis &analysis : analyses) {
+        if (analysis.transactionOnly) {
             return true;
         }
-        if (finding.kind != StatementKind::Read) {
+        if (analysis.kind != StatementKind::Read) {
             return false;
         }
     }
     return false;
 }
 
-Classification combine(const std::vector<Finding> &findings)
+Classification combine(const std::vector<StatementAnalysis> &analyses)
 {
-    const auto refusedOne =
-        std::find_if(findings.begin(), findings.end(), [](const Finding &finding) { return finding.refusal.has_value(); });
-    if (refusedOne != findings.end()) {
-        return refusal(*refusedOne->refusal);
+    const auto firstRefused = std::find_if(analyses.begin(), analyses.end(),
+                                           [](const StatementAnalysis &analysis) { return analysis.refusal.has_value(); });
+    if (firstRefused != analyses.end()) {
+        return refusal(*firstRefused->refusal);
     }
-    const auto settings =
-        std::count_if(findings.begin(), findings.end(), [](const Finding &finding) { return finding.setting.has_value(); });
-    if (settings == static_cast<std::ptrdiff_t>(findings.size())) {
-        return combineSettings(findings);
+    const auto settings = std::count_if(analyses.begin(), analyses.end(),
+                                        [](const StatementAnalysis &analysis) { return analysis.setting.has_value(); });
+    if (settings == static_cast<std::ptrdiff_t>(analyses.size())) {
+        return combineSettings(analyses);
     }
     if (settings > 0) {
-        return refusal(unsupported("SET, SHOW, RESET and DISCARD are not carried among other statements; send them apart."));
+        return refusal(
+            unsupported("SET, SHOW, RESET and DISCARD cannot be combined with other statements; send them separately."));
     }
     Classification result;
-    if (std::any_of(findings.begin(), findings.end(), [](const Finding &each) { return each.block != BlockEffect::None; })) {
-        result = combineBlocks(findings);
+    if (std::any_of(analyses.begin(), analyses.end(),
+                    [](const StatementAnalysis &each) { return each.block != BlockEffect::None; })) {
+        result = combineBlocks(analyses);
     } else {
-        const bool reads = std::all_of(findings.begin(), findings.end(),
-                                       [](const Finding &finding) { return finding.kind == StatementKind::Read; });
+        const bool reads = std::all_of(analyses.begin(), analyses.end(),
+                                       [](const StatementAnalysis &analysis) { return analysis.kind == StatementKind::Read; });
         result.kind = reads ? StatementKind::Read : StatementKind::Write;
     }
-    result.transactionOnly = readsForeignState(findings);
+    result.transactionOnly = readsForeignState(analyses);
     return result;
 }
 
@@ -252,18 +259,18 @@
         return refusal(Error{ErrorKind::InvalidInput, "The statement contains a zero byte; remove it.", milliseconds{0}});
     }
     const std::string text(sql);
-    const auto findings = text.size() > maxParsedBytes ? findLongText(text) : findAll(text);
-    if (!findings) {
+    const auto analyses = text.size() > maxParsedBytes ? analyzeLongText(text) : analyzeAll(text);
+    if (!analyses) {
         return Classification{};
     }
-    if (findings->empty()) {
+    if (analyses->empty()) {
         Classification result;
         result.kind = StatementKind::Setting;
         result.empty = true;
         return result;
     }
-    Classification result = combine(*findings);
-    result.multiStatement = findings->size() > 1;
+    Classification result = combine(*analyses);
+    result.multiStatement = analyses->size() > 1;
     return result;
 }
 
@@ -281,13 +288,13 @@
         return found->second->second;
     }
     auto result = std::make_shared<const Classification>(detail::classifyText(sql));
-    remember(sql, result);
+    insert(sql, result);
     return result;
 }
 
-void Classifier::remember(std::string_view sql, const std::shared_ptr<const Classification> &result)
+void Classifier::insert(std::string_view sql, const std::shared_ptr<const Classification> &result)
 {
-    if (sql.size() > maxRememberedBytes) {
+    if (sql.size() > maxCachedTextBytes) {
         return;
     }
     if (m_entries.size() >= m_capacity) {
--- a/src/core/sessions/parsetree.cpp
+++ b/src/core/sessions/parsetree.cpp
@@ -1,4 +1,4 @@
-// Access to libpg_query's JSON.
+// Helpers that read libpg_query's JSON trees.
 
 #include "core/sessions/parsetree.h"
 
--- a/src/core/sessions/parsetree.h
+++ b/src/core/sessions/parsetree.h
@@ -1,5 +1,5 @@
-// Reads what libpg_query returns: owns its results and walks its trees, which
-// come as JSON, without recursion.
+// Access to the results of libpg_query: RAII owners, and helpers that read its parse
+// trees, which are JSON, without recursion.
 
 #pragma once
 
@@ -16,35 +16,35 @@
 
 using Json = nlohmann::json;
 
-// The text at `key`, empty when there is none.
+// The string at `key`; empty when it is absent.
 std::string textAt(const Json &node, const char *key);
-// The flag at `key`, false when there is none: the parser leaves out defaults.
+// The flag at `key`; false when it is absent, as the parser omits default values.
 bool flagAt(const Json &node, const char *key);
 // The parts of a qualified name such as a funcname.
 std::vector<std::string> namesOf(const Json &list);
-// A name without pg_catalog; empty when another schema qualifies it.
+// The name without a pg_catalog qualifier; empty when it is qualified with another schema.
 std::string builtinName(const std::vector<std::string> &names);
 
-// Calls `visit(key, value)` for every member of every object below `root`, without
-// recursion: the tree may be deeper than the stack allows.
+// Calls `visit(key, value)` for every member of every object below `root`. Iterative,
+// since recursion into a deep tree could overflow the stack.
 template <typename Visit> void forEachMember(const Json &root, const Visit &visit)
 {
-    std::vector<const Json *> open{&root};
-    while (!open.empty()) {
-        const Json &node = *open.back();
-        open.pop_back();
+    std::vector<const Json *> pending{&root};
+    while (!pending.empty()) {
+        const Json &node = *pending.back();
+        pending.pop_back();
         for (auto item = node.begin(); item != node.end(); ++item) {
             if (node.is_object()) {
                 visit(item.key(), item.value());
             }
             if (item->is_structured()) {
-                open.push_back(&*item);
+                pending.push_back(&*item);
             }
         }
     }
 }
 
-// Owns what the parser allocated.
+// Parses a text and owns the result.
 class ParsedText
 {
 public:
@@ -68,7 +68,7 @@
     PgQueryParseResult m_result;
 };
 
-// Owns what the splitter allocated.
+// Splits a text into statements and owns the result.
 class SplitText
 {
 public:
@@ -92,8 +92,8 @@
     }
     std::string statement(const std::string &sql, std::size_t index) const
     {
-        const PgQuerySplitStmt &piece = *m_result.stmts[index];
-        return sql.substr(static_cast<std::size_t>(piece.stmt_location), static_cast<std::size_t>(piece.stmt_len));
+        const PgQuerySplitStmt &part = *m_result.stmts[index];
+        return sql.substr(static_cast<std::size_t>(part.stmt_location), static_cast<std::size_t>(part.stmt_len));
     }
 
 private:
--- a/src/core/sessions/sessionstate.cpp
+++ b/src/core/sessions/sessionstate.cpp
@@ -1,4 +1,4 @@
-// SessionState: options of one caller, its floor and its open transaction.
+// SessionState: settings, floor and open transaction of one session.
 
 #include "egrettide/core/sessionstate.h"
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr milliseconds longestDuration = std::chrono::hours(24);
+constexpr milliseconds maxDuration = std::chrono::hours(24);
 
 Error invalid(std::string message)
 {
@@ -51,8 +51,8 @@
     return absl::StrCat(duration.count(), "ms");
 }
 
-// Splits as PostgreSQL splits the `options` parameter: at white space, unless a
-// backslash stands before it.
+// Splits the `options` parameter as PostgreSQL does: at white space that is not
+// escaped by a backslash.
 std::vector<std::string> splitOptions(std::string_view options)
 {
     std::vector<std::string> words;
@@ -79,7 +79,7 @@
     return words;
 }
 
-// The "name=value" of one word of `options`; `-c` may stand apart from it.
+// The "name=value" part of one word of `options`. `-c` may also be a word of its own.
 std::string_view assignmentOf(std::string_view word)
 {
     if (word.starts_with("--") || word.starts_with("-c")) {
@@ -99,7 +99,7 @@
         std::string_view suffix;
         std::int64_t factor;
     };
-    // "ms" comes before "s", which it ends with.
+    // "ms" has to precede "s", as it ends with it.
     static constexpr std::array<Unit, 3> units = {{{"ms", 1}, {"min", 60000}, {"s", 1000}}};
     std::string number = lowered(trimmed(text));
     std::int64_t factor = 1;
@@ -115,7 +115,7 @@
     const bool digits = !number.empty() && std::all_of(number.begin(), number.end(), [](char each) {
         return absl::ascii_isdigit(static_cast<unsigned char>(each));
     });
-    if (!digits || !absl::SimpleAtoi(number, &value) || value <= 0 || value > longestDuration.count() / factor) {
+    if (!digits || !absl::SimpleAtoi(number, &value) || value <= 0 || value > maxDuration.count() / factor) {
         return std::nullopt;
     }
     return milliseconds{value * factor};
@@ -126,7 +126,7 @@
 SessionState::SessionState(SessionDefaults defaults, std::shared_ptr<const SessionTokenCodec> codec, TimePoint arrivedAt)
     : m_defaults(std::move(defaults)), m_codec(std::move(codec)), m_arrivedAt(arrivedAt)
 {
-    m_unknownArrival = !m_defaults.startsKnown;
+    m_floorIncomplete = !m_defaults.startsKnown;
     resetAll();
 }
 
@@ -197,7 +197,7 @@
         return setIdempotent(value);
     }
     if (setting == settingnames::session) {
-        return takeToken(value);
+        return applyToken(value);
     }
     if (setting == settingnames::tenant) {
         return tl::unexpected(invalid("egrettide.tenant follows from the user; connect as another user to change it."));
@@ -315,7 +315,7 @@
     return {};
 }
 
-tl::expected<void, Error> SessionState::takeToken(std::string_view value)
+tl::expected<void, Error> SessionState::applyToken(std::string_view value)
 {
     if (value.empty()) {
         return {};
@@ -325,11 +325,11 @@
         return tl::unexpected(decoded.error());
     }
     if (decoded->database != m_defaults.database) {
-        // A mark in another database's log says nothing about this one.
+        // A mark in the log of another database can't be compared with marks of this one.
         return {};
     }
     raiseFloor(decoded->mark);
-    m_unknownArrival = false;
+    m_floorIncomplete = false;
     return {};
 }
 
@@ -372,32 +372,32 @@
     Freshness freshness;
     freshness.floor = m_floor;
     freshness.maxAge = m_maxAge;
-    freshness.latest = m_mode == FreshnessMode::Latest || m_unknownArrival;
+    freshness.latest = m_mode == FreshnessMode::Latest || m_floorIncomplete;
     return freshness;
 }
 
 TimePoint SessionState::freshSince(TimePoint receivedAt) const
 {
-    const bool onlyArrival = m_unknownArrival && m_mode != FreshnessMode::Latest;
-    return onlyArrival ? m_arrivedAt : receivedAt;
+    const bool countsFromArrival = m_floorIncomplete && m_mode != FreshnessMode::Latest;
+    return countsFromArrival ? m_arrivedAt : receivedAt;
 }
 
 bool SessionState::onSeen(LogMark mark, const Freshness &asked, StatementKind kind)
 {
     const auto floorBefore = m_floor;
-    const bool unknownBefore = m_unknownArrival;
+    const bool incompleteBefore = m_floorIncomplete;
     const bool onlyRead = kind == StatementKind::Read || kind == StatementKind::BeginReadOnly;
     if (m_defaults.readsRaiseFloor || !onlyRead) {
         raiseFloor(mark);
     }
-    // BEGIN proves much and shows nothing: the mark that covers its transaction
-    // comes with COMMIT. An acknowledged write lies behind all that was
-    // acknowledged before it.
+    // BEGIN doesn't complete the floor: it returns no data, and the mark that covers its
+    // transaction comes with COMMIT. The mark of an acknowledged write follows those of
+    // all writes acknowledged before it.
     const bool latestRead = kind == StatementKind::Read && asked.latest;
     if (latestRead || kind == StatementKind::Write || kind == StatementKind::Commit) {
-        m_unknownArrival = false;
+        m_floorIncomplete = false;
     }
-    return !m_unknownArrival && (unknownBefore || m_floor != floorBefore);
+    return !m_floorIncomplete && (incompleteBefore || m_floor != floorBefore);
 }
 
 void SessionState::raiseFloor(LogMark mark)
@@ -410,14 +410,14 @@
     return m_floor;
 }
 
-bool SessionState::unknownArrival() const
+bool SessionState::isFloorIncomplete() const
 {
-    return m_unknownArrival;
+    return m_floorIncomplete;
 }
 
 std::string SessionState::token() const
 {
-    if (m_unknownArrival || !m_floor) {
+    if (m_floorIncomplete || !m_floor) {
         return {};
     }
     return m_codec->encode(SessionFloor{m_defaults.database, *m_floor});
--- a/src/core/sessions/sessiontoken.cpp
+++ b/src/core/sessions/sessiontoken.cpp
@@ -21,7 +21,7 @@
 constexpr char layoutVersion = 1;
 constexpr std::size_t numberBytes = 8;
 constexpr std::size_t headBytes = 1 + 2 * numberBytes;
-// 96 bits: a forger needs 2^95 tries, and a success would win no wrong answer.
+// 96 bits: a forgery takes 2^95 attempts on average, and a successful one causes no wrong answer.
 constexpr std::size_t macBytes = 12;
 
 void appendNumber(std::string &out, std::uint64_t value)
--- a/src/core/sessions/statementfinding.cpp
+++ b/src/core/sessions/statementfinding.cpp
@@ -1,5 +1,5 @@
-// One finder for each kind of statement, and the facts that any tree may hold:
-// calls, writes, temporary objects.
+// One function for each kind of statement, and a scan for what any tree may contain:
+// function calls, writes, temporary objects.
 
 #include "core/sessions/statementfinding.h"
 
@@ -33,22 +33,22 @@
     return Error{ErrorKind::Unsupported, std::move(message), milliseconds{0}};
 }
 
-Finding settingFinding(SettingAction action, const std::string &name, std::string value = {})
+StatementAnalysis settingStatement(SettingAction action, const std::string &name, std::string value = {})
 {
-    Finding finding;
-    finding.kind = StatementKind::Setting;
-    finding.setting = Setting{action, absl::AsciiStrToLower(name), std::move(value)};
-    return finding;
+    StatementAnalysis analysis;
+    analysis.kind = StatementKind::Setting;
+    analysis.setting = Setting{action, absl::AsciiStrToLower(name), std::move(value)};
+    return analysis;
 }
 
-Finding block(StatementKind kind, BlockEffect effect)
+StatementAnalysis blockStatement(StatementKind kind, BlockEffect effect)
 {
-    Finding finding = plain(kind);
-    finding.block = effect;
-    return finding;
+    StatementAnalysis analysis = statementOfKind(kind);
+    analysis.block = effect;
+    return analysis;
 }
 
-// True for set_config(..., true), which ends with the transaction.
+// True for set_config(..., true), whose effect ends with the transaction.
 bool isLocalSetConfig(const Json &call)
 {
     constexpr std::size_t isLocalArgument = 2;
@@ -73,26 +73,29 @@
     }
     if (isSessionLockFunction(name)) {
         return unsupported(absl::StrCat(name,
-                                        "() holds or frees a lock of the connection, which other sessions share; "
+                                        "() takes or releases a lock of a connection that other sessions share; "
                                         "use pg_advisory_xact_lock() inside a transaction."));
     }
     if (name == "pg_notify") {
-        return unsupported("pg_notify() is not carried; connect to the upstream itself for notifications.");
+        return unsupported("pg_notify() is not supported; connect directly to the upstream for notifications.");
     }
     return std::nullopt;
 }
 
-// What the tree of one statement contains, whatever its kind.
+// What the tree of a statement of any kind contains.
 struct TreeFacts {
     std::optional<Error> refusal;
     bool writes = false;
+    // Calls a function or operator that is not known to be read-only.
     bool unprovenCall = false;
+    // Reads state of its connection.
     bool connectionState = false;
+    // Refers to a temporary object.
     bool temporary = false;
     bool dropsOnCommit = false;
 };
 
-void noteCall(TreeFacts &facts, const Json &names, const Json &call)
+void recordCall(TreeFacts &facts, const Json &names, const Json &call)
 {
     const std::string name = builtinName(namesOf(names));
     if (!facts.refusal) {
@@ -109,13 +112,13 @@
     return std::find(keys.begin(), keys.end(), key) != keys.end();
 }
 
-void noteMember(TreeFacts &facts, const std::string &key, const Json &value)
+void recordMember(TreeFacts &facts, const std::string &key, const Json &value)
 {
     if (isWritingKey(key)) {
         facts.writes = true;
     }
     if (value.is_object() && value.contains("funcname")) {
-        noteCall(facts, value["funcname"], value);
+        recordCall(facts, value["funcname"], value);
     }
     if ((key == "A_Expr" && value.contains("name") && builtinName(namesOf(value["name"])).empty())
         || (key == "operName" && builtinName(namesOf(value)).empty())) {
@@ -134,7 +137,7 @@
 TreeFacts factsOf(const Json &statement)
 {
     TreeFacts facts;
-    parsetree::forEachMember(statement, [&facts](const std::string &key, const Json &value) { noteMember(facts, key, value); });
+    parsetree::forEachMember(statement, [&facts](const std::string &key, const Json &value) { recordMember(facts, key, value); });
     if (!facts.refusal && facts.temporary && !facts.dropsOnCommit) {
         facts.refusal = unsupported("Temporary objects would stay on a connection that other sessions share; "
                                     "create them inside a transaction with ON COMMIT DROP.");
@@ -142,7 +145,7 @@
     return facts;
 }
 
-// The constants of SET's right-hand side, joined as PostgreSQL joins lists.
+// The constants on the right-hand side of SET, joined as PostgreSQL joins lists.
 std::string settingValue(const Json &node)
 {
     std::vector<std::string> values;
@@ -166,9 +169,9 @@
     return absl::StrJoin(values, ", ");
 }
 
-// True for settings whose value changes nothing that an upstream's answer to
-// another session could show: the front notes them and no upstream sees them.
-bool isHarmlessSetting(const std::string &name, const std::string &value)
+// True for settings whose value doesn't change the results of an upstream. The front
+// acknowledges them and doesn't forward them.
+bool isIgnorableSetting(const std::string &name, const std::string &value)
 {
     const std::string lower = absl::AsciiStrToLower(value);
     if (name == "application_name" || name == "client_min_messages") {
@@ -178,7 +181,7 @@
         return lower == "utf8" || lower == "utf-8" || lower == "unicode";
     }
     if (name == "extra_float_digits") {
-        // PostgreSQL 12 and later answer alike for 1, 2 and 3.
+        // PostgreSQL 12 and later format floating-point numbers alike for 1, 2 and 3.
         return lower == "1" || lower == "2" || lower == "3";
     }
     if (name == "datestyle") {
@@ -193,65 +196,65 @@
     return name == "standard_conforming_strings" && (lower == "on" || lower == "true");
 }
 
-bool isOwnSetting(const std::string &name)
+bool isProxySetting(const std::string &name)
 {
     return absl::StartsWith(name, "egrettide.");
 }
 
-Finding findSetValue(const Json &node, const std::string &name)
+StatementAnalysis analyzeSetValue(const Json &node, const std::string &name)
 {
     const std::string value = settingValue(node);
-    if (isOwnSetting(name) || isHarmlessSetting(name, value)) {
-        return settingFinding(SettingAction::Set, name, value);
+    if (isProxySetting(name) || isIgnorableSetting(name, value)) {
+        return settingStatement(SettingAction::Set, name, value);
     }
     if (name == "statement_timeout") {
-        return refused("SET statement_timeout would change a connection that other sessions share; "
-                       "use SET egrettide.timeout, or SET LOCAL statement_timeout inside a transaction.");
+        return refusedStatement("SET statement_timeout would change a connection that other sessions share; "
+                                "use SET egrettide.timeout, or SET LOCAL statement_timeout inside a transaction.");
     }
-    return refused(absl::StrCat("SET ", name, " would change a connection that other sessions share; use SET LOCAL ", name,
-                                " inside a transaction, or ALTER ROLE ... SET on the upstream."));
+    return refusedStatement(absl::StrCat("SET ", name, " would change a connection that other sessions share; use SET LOCAL ",
+                                         name, " inside a transaction, or ALTER ROLE ... SET on the upstream."));
 }
 
-Finding findSet(const Json &node)
+StatementAnalysis analyzeSet(const Json &node)
 {
     const std::string kind = textAt(node, "kind");
     const std::string name = absl::AsciiStrToLower(textAt(node, "name"));
     if (flagAt(node, "is_local")) {
-        return isOwnSetting(name) ? refused(absl::StrCat("SET LOCAL ", name, " is not carried; use SET ", name, "."))
-                                  : plain(StatementKind::Write);
+        return isProxySetting(name) ? refusedStatement(absl::StrCat("SET LOCAL ", name, " is not supported; use SET ", name, "."))
+                                    : statementOfKind(StatementKind::Write);
     }
     if (kind == "VAR_RESET_ALL") {
-        return settingFinding(SettingAction::Reset, {});
+        return settingStatement(SettingAction::Reset, {});
     }
     if (kind == "VAR_RESET" || kind == "VAR_SET_DEFAULT") {
-        return settingFinding(SettingAction::Reset, name);
+        return settingStatement(SettingAction::Reset, name);
     }
     if (kind == "VAR_SET_VALUE") {
-        return findSetValue(node, name);
+        return analyzeSetValue(node, name);
     }
     if (kind == "VAR_SET_MULTI" && absl::StartsWith(name, "transaction")) {
-        return plain(StatementKind::Write);
+        return statementOfKind(StatementKind::Write);
     }
-    return refused(absl::StrCat("SET ", name,
-                                " would change a connection that other sessions share; "
-                                "state it in BEGIN, or use SET LOCAL inside a transaction."));
+    return refusedStatement(absl::StrCat("SET ", name,
+                                         " would change a connection that other sessions share; "
+                                         "specify it in BEGIN, or use SET LOCAL inside a transaction."));
 }
 
-// Drivers ask these to find a server that takes writes. A replica's answer would
-// make them give up on egrettide, which takes writes on every connection; for the
+// Drivers query these settings to find a server that accepts writes. A replica's answer
+// would make them reject egrettide, which accepts writes on every connection. For the
 // same reason pg_is_in_recovery() is not among the read-only functions.
-bool tellsRole(const std::string &name)
+bool revealsServerRole(const std::string &name)
 {
     return name == "transaction_read_only" || name == "default_transaction_read_only" || name == "in_hot_standby";
 }
 
-Finding findShow(const Json &node)
+StatementAnalysis analyzeShow(const Json &node)
 {
     const std::string name = absl::AsciiStrToLower(textAt(node, "name"));
-    if (isOwnSetting(name)) {
-        return settingFinding(SettingAction::Show, name);
+    if (isProxySetting(name)) {
+        return settingStatement(SettingAction::Show, name);
     }
-    return plain(tellsRole(name) ? StatementKind::Write : StatementKind::Read);
+    return statementOfKind(revealsServerRole(name) ? StatementKind::Write : StatementKind::Read);
 }
 
 bool isReadOnlyBegin(const Json &node)
@@ -264,54 +267,54 @@
     for (const Json &option : *options) {
         const auto element = option.find("DefElem");
         if (element != option.end() && textAt(*element, "defname") == "transaction_read_only") {
-            // The parser leaves out zeros: READ WRITE has an empty "ival".
+            // The parser omits zeros: READ WRITE has an empty "ival".
             readOnly = element->value(Json::json_pointer("/arg/A_Const/ival/ival"), 0) == 1;
         }
     }
     return readOnly;
 }
 
-Finding findTransaction(const Json &node)
+StatementAnalysis analyzeTransaction(const Json &node)
 {
-    // The parser leaves out the enumeration's first value.
+    // Empty for the first value of the enumeration, which the parser omits.
     const std::string kind = textAt(node, "kind");
     if (flagAt(node, "chain")) {
-        return refused("AND CHAIN is not carried; send COMMIT or ROLLBACK, then BEGIN.");
+        return refusedStatement("AND CHAIN is not supported; send COMMIT or ROLLBACK, then BEGIN.");
     }
     if (kind == "TRANS_STMT_BEGIN" || kind == "TRANS_STMT_START") {
-        return isReadOnlyBegin(node) ? block(StatementKind::BeginReadOnly, BlockEffect::BeginReadOnly)
-                                     : block(StatementKind::Begin, BlockEffect::Begin);
+        return isReadOnlyBegin(node) ? blockStatement(StatementKind::BeginReadOnly, BlockEffect::BeginReadOnly)
+                                     : blockStatement(StatementKind::Begin, BlockEffect::Begin);
     }
     if (kind == "TRANS_STMT_COMMIT") {
-        return block(StatementKind::Commit, BlockEffect::Commit);
+        return blockStatement(StatementKind::Commit, BlockEffect::Commit);
     }
     if (kind == "TRANS_STMT_ROLLBACK") {
-        return block(StatementKind::Rollback, BlockEffect::Rollback);
+        return blockStatement(StatementKind::Rollback, BlockEffect::Rollback);
     }
     if (absl::StrContains(kind, "PREPARE")) {
-        return refused("Two-phase commit is not carried: a prepared transaction outlives its connection; use COMMIT.");
+        return refusedStatement("Two-phase commit is not supported: a prepared transaction outlives its connection; use COMMIT.");
     }
-    return plain(StatementKind::Write);
+    return statementOfKind(StatementKind::Write);
 }
 
-Finding findDeclareCursor(const Json &node)
+StatementAnalysis analyzeDeclareCursor(const Json &node)
 {
     if ((node.value("options", 0) & cursorOptionHold) != 0) {
-        return refused("A cursor WITH HOLD would stay on a connection that other sessions share; "
-                       "declare it without HOLD inside a transaction.");
+        return refusedStatement("A cursor WITH HOLD would stay on a connection that other sessions share; "
+                                "declare it without HOLD inside a transaction.");
     }
-    return plain(StatementKind::Write);
+    return statementOfKind(StatementKind::Write);
 }
 
-Finding findDiscard(const Json &node)
+StatementAnalysis analyzeDiscard(const Json &node)
 {
     if (textAt(node, "target") == "DISCARD_ALL") {
-        return settingFinding(SettingAction::Discard, {});
+        return settingStatement(SettingAction::Discard, {});
     }
-    return refused("Of DISCARD only DISCARD ALL is carried; use that.");
+    return refusedStatement("DISCARD is supported only as DISCARD ALL; use that.");
 }
 
-// Statements that are refused whatever they contain.
+// The message for statement types that are always refusedStatement.
 std::optional<std::string_view> refusalOfType(const std::string &type)
 {
     struct Row {
@@ -319,103 +322,103 @@
         std::string_view message;
     };
     static constexpr std::array<Row, 7> rows = {{
-        {"CopyStmt", "COPY is not carried; use INSERT with several rows, or connect to the upstream itself."},
-        {"ListenStmt", "LISTEN is not carried: a session has no connection of its own; connect to the upstream itself."},
-        {"UnlistenStmt", "UNLISTEN is not carried: nothing listens here; leave it out."},
-        {"NotifyStmt", "NOTIFY is not carried; connect to the upstream itself for notifications."},
-        {"PrepareStmt", "PREPARE in SQL is not carried; prepare through the driver, by the extended query protocol."},
-        {"ExecuteStmt", "EXECUTE in SQL is not carried; execute through the driver, by the extended query protocol."},
+        {"CopyStmt", "COPY is not supported; use INSERT with several rows, or connect directly to the upstream."},
+        {"ListenStmt", "LISTEN is not supported: a session has no connection of its own; connect directly to the upstream."},
+        {"UnlistenStmt", "UNLISTEN is not supported, as LISTEN is not; remove it."},
+        {"NotifyStmt", "NOTIFY is not supported; connect directly to the upstream for notifications."},
+        {"PrepareStmt", "PREPARE in SQL is not supported; prepare through the driver, with the extended query protocol."},
+        {"ExecuteStmt", "EXECUTE in SQL is not supported; execute through the driver, with the extended query protocol."},
         {"LoadStmt", "LOAD would change a connection that other sessions share; set session_preload_libraries on the upstream."},
     }};
     const auto row = std::find_if(rows.begin(), rows.end(), [&type](const Row &each) { return each.type == type; });
     return row == rows.end() ? std::nullopt : std::optional(row->message);
 }
 
-Finding findQuery(const TreeFacts &facts)
+StatementAnalysis analyzeQuery(const TreeFacts &facts)
 {
-    Finding finding;
+    StatementAnalysis analysis;
     if (facts.refusal) {
-        finding.kind = StatementKind::Refused;
-        finding.refusal = facts.refusal;
-        return finding;
+        analysis.kind = StatementKind::Refused;
+        analysis.refusal = facts.refusal;
+        return analysis;
     }
-    finding.transactionOnly = facts.connectionState;
-    return finding;
+    analysis.transactionOnly = facts.connectionState;
+    return analysis;
 }
 
-Finding findSelect(const Json &node)
+StatementAnalysis analyzeSelect(const Json &node)
 {
     const TreeFacts facts = factsOf(node);
-    Finding finding = findQuery(facts);
-    if (!finding.refusal && !facts.writes && !facts.unprovenCall) {
-        finding.kind = StatementKind::Read;
+    StatementAnalysis analysis = analyzeQuery(facts);
+    if (!analysis.refusal && !facts.writes && !facts.unprovenCall) {
+        analysis.kind = StatementKind::Read;
     }
-    return finding;
+    return analysis;
 }
 
-Finding findExplain(const Json &node)
+StatementAnalysis analyzeExplain(const Json &node)
 {
     if (node.contains("options")) {
         for (const Json &option : node["options"]) {
             const auto element = option.find("DefElem");
             if (element != option.end() && textAt(*element, "defname") == "analyze") {
-                return findQuery(factsOf(node));
+                return analyzeQuery(factsOf(node));
             }
         }
     }
     const auto query = node.find("query");
     const bool select = query != node.end() && query->contains("SelectStmt");
-    return select ? findSelect((*query)["SelectStmt"]) : findQuery(factsOf(node));
+    return select ? analyzeSelect((*query)["SelectStmt"]) : analyzeQuery(factsOf(node));
 }
 
 } // namespace
 
-Finding refused(std::string message)
+StatementAnalysis refusedStatement(std::string message)
 {
-    Finding finding;
-    finding.kind = StatementKind::Refused;
-    finding.refusal = unsupported(std::move(message));
-    return finding;
+    StatementAnalysis analysis;
+    analysis.kind = StatementKind::Refused;
+    analysis.refusal = unsupported(std::move(message));
+    return analysis;
 }
 
-Finding plain(StatementKind kind)
+StatementAnalysis statementOfKind(StatementKind kind)
 {
-    Finding finding;
-    finding.kind = kind;
-    return finding;
+    StatementAnalysis analysis;
+    analysis.kind = kind;
+    return analysis;
 }
 
-Finding findStatement(const std::string &type, const Json &node)
+StatementAnalysis analyzeStatement(const std::string &type, const Json &node)
 {
     if (const auto message = refusalOfType(type)) {
-        return refused(std::string(*message));
+        return refusedStatement(std::string(*message));
     }
     if (type == "SelectStmt") {
-        return findSelect(node);
+        return analyzeSelect(node);
     }
     if (type == "ExplainStmt") {
-        return findExplain(node);
+        return analyzeExplain(node);
     }
     if (type == "VariableSetStmt") {
-        return findSet(node);
+        return analyzeSet(node);
     }
     if (type == "VariableShowStmt") {
-        return findShow(node);
+        return analyzeShow(node);
     }
     if (type == "TransactionStmt") {
-        return findTransaction(node);
+        return analyzeTransaction(node);
     }
     if (type == "DeclareCursorStmt") {
-        const Finding hold = findDeclareCursor(node);
-        return hold.refusal ? hold : findQuery(factsOf(node));
+        const StatementAnalysis hold = analyzeDeclareCursor(node);
+        return hold.refusal ? hold : analyzeQuery(factsOf(node));
     }
     if (type == "DiscardStmt") {
-        return findDiscard(node);
+        return analyzeDiscard(node);
     }
     if (type == "DeallocateStmt") {
-        return settingFinding(SettingAction::Deallocate, textAt(node, "name"));
+        return settingStatement(SettingAction::Deallocate, textAt(node, "name"));
     }
-    return findQuery(factsOf(node));
+    return analyzeQuery(factsOf(node));
 }
 
 } // namespace egrettide::detail
--- a/src/core/sessions/statementfinding.h
+++ b/src/core/sessions/statementfinding.h
@@ -1,4 +1,4 @@
-// What one statement does, by the kind of its parse tree.
+// Analysis of a single statement by its parse tree.
 
 #pragma once
 
@@ -12,11 +12,11 @@
 namespace egrettide::detail
 {
 
-// How a statement changes the transaction block.
+// The effect of a statement on the transaction block.
 enum class BlockEffect { None, Begin, BeginReadOnly, Commit, Rollback };
 
-// What one statement of a text was found to do.
-struct Finding {
+// The result of the analysis of one statement.
+struct StatementAnalysis {
     StatementKind kind = StatementKind::Write;
     BlockEffect block = BlockEffect::None;
     std::optional<Error> refusal;
@@ -24,13 +24,13 @@
     bool transactionOnly = false;
 };
 
-// A finding that refuses its statement; the message names the remedy.
-Finding refused(std::string message);
-// A finding of a kind and nothing else.
-Finding plain(StatementKind kind);
+// The analysis of a statement that is refusedStatement; the message has to name a remedy.
+StatementAnalysis refusedStatement(std::string message);
+// The analysis of a statement of which only the kind matters.
+StatementAnalysis statementOfKind(StatementKind kind);
 
-// Finds out about a statement from the parser's name for its type, such as
-// "SelectStmt", and its tree.
-Finding findStatement(const std::string &type, const parsetree::Json &node);
+// Analyzes a statement. `type` is the parser's name of the node type, such as
+// "SelectStmt"; `node` is its tree.
+StatementAnalysis analyzeStatement(const std::string &type, const parsetree::Json &node);
 
 } // namespace egrettide::detail
--- a/src/core/sessions/transactionfailure.cpp
+++ b/src/core/sessions/transactionfailure.cpp
@@ -1,4 +1,4 @@
-// Failures inside transactions.
+// Errors of statements inside a transaction.
 
 #include "egrettide/core/transactionfailure.h"
 
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Kinds of errors that say that the transaction's connection cannot go on.
+// True for errors after which the connection of the transaction is unusable.
 bool losesTransaction(ErrorKind kind)
 {
     switch (kind) {
@@ -34,7 +34,7 @@
         return error;
     }
     if (losesTransaction(error.kind)) {
-        // Nothing of it was committed, so all of it counts as not run.
+        // No part of it was committed, so all of it counts as not run.
         return Error{ErrorKind::Conflict,
                      "The transaction was lost with its upstream and is rolled back; run it again from its start.",
                      error.retryAfter};
--- a/src/wire/batchassembler.cpp
+++ b/src/wire/batchassembler.cpp
@@ -1,4 +1,4 @@
-// Cuts streams into batches, plans batches and composes their answers.
+// Splits streams into batches, plans batches and composes their answers.
 
 #include "wire/batchassembler.h"
 
@@ -13,9 +13,9 @@
 namespace
 {
 
-// Bounds what one session can make the front remember.
+// Bounds the memory that the statements of one session use in the front.
 constexpr std::size_t maxStatements = 4096;
-constexpr std::size_t keptBufferBytes = std::size_t{16} * 1024;
+constexpr std::size_t maxIdleBufferBytes = std::size_t{16} * 1024;
 constexpr std::size_t contentNameBytes = 16;
 constexpr std::string_view contentPrefix = "egr_";
 constexpr std::string_view probePortal = "egr_probe";
@@ -37,15 +37,15 @@
     return type == 'P' || type == 'B' || type == 'D' || type == 'E' || type == 'C';
 }
 
-// Copy data outside of a copy: the server ignores it, as a failed COPY leaves it
-// in the stream.
+// True for COPY data outside a COPY. As in PostgreSQL it is ignored, since a failed COPY
+// leaves it in the stream.
 bool isStrayCopyData(char type)
 {
     return type == 'd' || type == 'c' || type == 'f';
 }
 
-// A cryptographic hash, because connections are shared between tenants: with a
-// hash that can be forged, one tenant could make another run a different text.
+// Uses a cryptographic hash, because tenants share connections: with forgeable
+// collisions, one tenant could make another run a different text.
 std::string contentNameOf(std::string_view text, std::string_view parameterTypes)
 {
     std::string input;
@@ -132,67 +132,67 @@
             return tl::unexpected(read.error());
         }
         if (!*read) {
-            giveBackBuffer();
+            releaseBuffer();
             return std::nullopt;
         }
-        auto batch = take(std::move(**read));
+        auto batch = addMessage(std::move(**read));
         if (!batch || *batch) {
             return batch;
         }
     }
 }
 
-// The reader's buffer keeps the size of the largest batch that it ever held.
-void BatchAssembler::giveBackBuffer()
+// Frees the reader's buffer, which otherwise keeps the size of the largest batch so far.
+void BatchAssembler::releaseBuffer()
 {
     if (m_reader.buffered() > 0) {
         return;
     }
-    if (m_fedBytes > keptBufferBytes) {
+    if (m_fedBytes > maxIdleBufferBytes) {
         m_reader = FrameReader();
     }
     m_fedBytes = 0;
 }
 
-tl::expected<std::optional<CallerBatch>, Error> BatchAssembler::take(Message message)
+tl::expected<std::optional<CallerBatch>, Error> BatchAssembler::addMessage(Message message)
 {
     const char type = message.type;
     if (isStrayCopyData(type)) {
         return std::nullopt;
     }
     if (type == 'S') {
-        return finish(BatchEnd::Sync);
+        return finishBatch(BatchEnd::Sync);
     }
     if (type == 'H') {
-        return m_current.messages.empty() ? std::optional<CallerBatch>() : *finish(BatchEnd::Flush);
+        return m_current.messages.empty() ? std::optional<CallerBatch>() : *finishBatch(BatchEnd::Flush);
     }
     if (type == 'X') {
-        // What was not followed by a Sync never runs.
+        // Messages that no Sync follows are not run.
         m_current = {};
-        return finish(BatchEnd::Terminate);
+        return finishBatch(BatchEnd::Terminate);
     }
     if ((type == 'Q' || type == 'F') && !m_current.messages.empty()) {
         return tl::unexpected(
-            invalid("A simple query or function call came before the Sync of an extended batch; send Sync first."));
+            invalid("A simple query or function call was received before the Sync of an extended batch; send Sync first."));
     }
     if (type != 'Q' && type != 'F' && !isExtended(type)) {
-        return tl::unexpected(invalid("A message of an unknown type came; connect with a PostgreSQL v3 driver."));
+        return tl::unexpected(invalid("A message of an unknown type was received; connect with a PostgreSQL v3 driver."));
     }
     m_current.bytes += message.payload.size() + sizeof(Message);
     if (m_current.bytes > m_maxBatchBytes) {
-        return tl::unexpected(invalid("A batch is larger than this host takes; send Sync more often or smaller values."));
+        return tl::unexpected(invalid("A batch is larger than this host accepts; send Sync more often or smaller values."));
     }
     m_current.messages.push_back(std::move(message));
     if (type == 'Q') {
-        return finish(BatchEnd::Query);
+        return finishBatch(BatchEnd::Query);
     }
     if (type == 'F') {
-        return finish(BatchEnd::FunctionCall);
+        return finishBatch(BatchEnd::FunctionCall);
     }
     return std::nullopt;
 }
 
-tl::expected<std::optional<CallerBatch>, Error> BatchAssembler::finish(BatchEnd end)
+tl::expected<std::optional<CallerBatch>, Error> BatchAssembler::finishBatch(BatchEnd end)
 {
     std::optional<CallerBatch> batch(std::move(m_current));
     m_current = {};
@@ -200,7 +200,7 @@
     return batch;
 }
 
-// Builds one plan; lives as long as the call to `SessionStatements::plan`.
+// Builds one plan, during a call of `SessionStatements::plan`.
 class PlanBuilder
 {
 public:
@@ -220,10 +220,10 @@
                 return tl::unexpected(added.error());
             }
         }
-        removeNeedlessProbe();
+        removeUnneededProbe();
         const bool isLocal = m_plan.batch.empty() && m_plan.prepared.empty();
         if (!isLocal && batch.end != BatchEnd::Query) {
-            // A Flush becomes a Sync upstream; its ReadyForQuery is dropped later.
+            // A Flush is sent to the upstream as a Sync; its ReadyForQuery is dropped later.
             appendMessage(m_plan.batch, 'S', {});
         }
         return std::move(m_plan);
@@ -248,14 +248,14 @@
         appendMessage(m_plan.batch, 'C', payload);
     }
 
-    // Without a statement for the upstream the probe would be all that it gets.
-    void removeNeedlessProbe()
+    // Removes the probe when it is the only message for the upstream.
+    void removeUnneededProbe()
     {
         const bool hasProbe = !m_plan.steps.empty() && m_plan.steps.front().kind == ReplyStep::Kind::Probe;
-        const auto isUpstreams = [](const ReplyStep &step) {
+        const auto isUpstreamStep = [](const ReplyStep &step) {
             return step.kind != ReplyStep::Kind::Local && step.kind != ReplyStep::Kind::Probe;
         };
-        if (!hasProbe || !m_plan.prepared.empty() || std::any_of(m_plan.steps.begin(), m_plan.steps.end(), isUpstreams)) {
+        if (!hasProbe || !m_plan.prepared.empty() || std::any_of(m_plan.steps.begin(), m_plan.steps.end(), isUpstreamStep)) {
             return;
         }
         m_plan.steps.erase(m_plan.steps.begin());
@@ -307,20 +307,20 @@
         }
         BoundStatement prepared;
         prepared.statement = prepare(*sql, reader.rest());
-        auto value = answerable(std::move(prepared));
+        auto value = resolveLocal(std::move(prepared));
         if (!value) {
             return tl::unexpected(value.error());
         }
         ReplyStep step = localStep(constantAnswer('1'));
-        const bool goesAlong = name->empty() && !value->local;
-        if (goesAlong) {
+        const bool sentInBatch = name->empty() && !value->local;
+        if (sentInBatch) {
             step.kind = ReplyStep::Kind::Parse;
             appendMessage(m_plan.batch, 'P', message.payload);
         } else if (!value->local) {
-            refer(*value->statement);
+            addPrepared(*value->statement);
         }
         if (name->empty()) {
-            m_unnamedGoesAlong = goesAlong;
+            m_unnamedInBatch = sentInBatch;
         }
         step.definesStatement = true;
         step.name = *name;
@@ -337,7 +337,7 @@
         if (!portal || !name) {
             return malformed("Bind");
         }
-        auto found = answerable(statementNamed(*name));
+        auto found = resolveLocal(statementNamed(*name));
         if (!found) {
             return tl::unexpected(found.error());
         }
@@ -369,7 +369,7 @@
             return malformed("Describe");
         }
         const bool isStatement = target->first == 'S';
-        const auto found = isStatement ? answerable(statementNamed(target->second))
+        const auto found = isStatement ? resolveLocal(statementNamed(target->second))
                                        : tl::expected<BoundStatement, Error>(portalNamed(target->second));
         if (!found) {
             return tl::unexpected(found.error());
@@ -426,7 +426,7 @@
         ReplyStep step;
         step.name = target->second;
         if (target->first == 'S') {
-            m_unnamedGoesAlong = m_unnamedGoesAlong && !step.name.empty();
+            m_unnamedInBatch = m_unnamedInBatch && !step.name.empty();
             // The shared statement stays with the upstream's connections.
             step.local = constantAnswer('3');
             step.definesStatement = true;
@@ -442,9 +442,9 @@
         return {};
     }
 
-    // The front may answer a statement itself from now on although it did not when
-    // the statement was prepared: COMMIT of a transaction that is already lost.
-    tl::expected<BoundStatement, Error> answerable(BoundStatement value) const
+    // Asks the hook again whether the front answers a statement itself. That may have
+    // changed since it was prepared, as for the COMMIT of a transaction that was lost.
+    tl::expected<BoundStatement, Error> resolveLocal(BoundStatement value) const
     {
         if (!value.statement) {
             return value;
@@ -493,9 +493,9 @@
         return statement;
     }
 
-    // A step that fails at the upstream, in its place and with its effect on the
-    // transaction, and tells the caller that it never prepared the statement. The
-    // name itself stays here: it could be the one that another text goes under.
+    // A step for a statement that the caller has not prepared. It fails at the upstream,
+    // so that the error has its place in the answer and its effect on the transaction.
+    // The caller's name is not sent: it could equal a name derived from another text.
     ReplyStep missingStatementStep(std::string_view callerName)
     {
         ReplyStep step;
@@ -504,22 +504,22 @@
         appendCString(payload, missingPortal);
         appendMessage(m_plan.batch, 'D', payload);
         const std::string name(callerName);
-        appendErrorResponse(step.errorInstead, unknownStatementSqlState, "prepared statement \"" + name + "\" does not exist",
+        appendErrorResponse(step.errorOverride, unknownStatementSqlState, "prepared statement \"" + name + "\" does not exist",
                             "Prepare it in this session first.");
         return step;
     }
 
-    // The name to send.
+    // The name of the statement to send to the upstream.
     std::string upstreamName(const BoundStatement &value, std::string_view callerName)
     {
-        if (callerName.empty() && m_unnamedGoesAlong) {
+        if (callerName.empty() && m_unnamedInBatch) {
             return {};
         }
-        refer(*value.statement);
+        addPrepared(*value.statement);
         return value.statement->contentName;
     }
 
-    void refer(const CallerStatement &statement)
+    void addPrepared(const CallerStatement &statement)
     {
         const auto isSame = [&](const PreparedStatement &other) { return other.name == statement.contentName; };
         if (std::none_of(m_plan.prepared.begin(), m_plan.prepared.end(), isSame)) {
@@ -537,7 +537,7 @@
         return lookUp(&ReplyStep::definesPortal, m_session.m_portals, name);
     }
 
-    // Names of this batch hide those of earlier ones.
+    // Names that this batch defines take precedence over those of earlier batches.
     BoundStatement lookUp(bool ReplyStep::*defines, const std::map<std::string, BoundStatement, std::less<>> &known,
                           std::string_view name) const
     {
@@ -553,14 +553,14 @@
     const SessionStatements &m_session;
     const LocalHook &m_localHook;
     BatchPlan m_plan;
-    // True while the unnamed statement is one that this batch itself parses.
-    bool m_unnamedGoesAlong = false;
+    // True while the unnamed statement is one that this batch parses.
+    bool m_unnamedInBatch = false;
 };
 
 tl::expected<BatchPlan, Error> SessionStatements::plan(const CallerBatch &batch, const LocalHook &localHook) const
 {
     if (batch.end == BatchEnd::FunctionCall) {
-        return tl::unexpected(unsupported("Function calls by message are not carried; call the function in a SELECT."));
+        return tl::unexpected(unsupported("The FunctionCall message is not supported; call the function in a SELECT."));
     }
     return PlanBuilder(*this, localHook).build(batch);
 }
@@ -606,7 +606,7 @@
 namespace
 {
 
-// Walks the upstream's answer along the steps of the plan.
+// Matches the messages of the upstream's answer with the steps of the plan.
 class AnswerComposer
 {
 public:
@@ -626,8 +626,8 @@
             if (!*read) {
                 break;
             }
-            if (!take(**read)) {
-                return tl::unexpected(invalid("The upstream's answer does not fit the batch; check the upstream's version."));
+            if (!handleMessage(**read)) {
+                return tl::unexpected(invalid("The upstream's answer does not match the batch; check the upstream's version."));
             }
         }
         return end(answer.empty());
@@ -647,7 +647,7 @@
     }
 
     // Returns false when the message cannot be part of the expected answer.
-    bool take(const Message &message)
+    bool handleMessage(const Message &message)
     {
         if (m_isFinished) {
             return false;
@@ -656,21 +656,21 @@
         case 'N':
         case 'A':
         case 'S':
-            pass(message);
+            forward(message);
             return true;
         case 'E':
-            takeError(message);
+            handleError(message);
             return true;
         case 'Z':
-            return takeReady(message);
+            return handleReady(message);
         default:
-            return takeStepAnswer(message);
+            return handleStepAnswer(message);
         }
     }
 
-    // The error is that of the next step that the upstream answers, so the front's
-    // own steps before it went well; unless the statements could not be prepared.
-    void takeError(const Message &message)
+    // The error belongs to the next step that the upstream answers, so the front's own
+    // steps before it have succeeded, unless the home failed to prepare the statements.
+    void handleError(const Message &message)
     {
         const bool hasNext = m_answer.answeredSteps < m_plan.steps.size();
         const bool failedToPrepare = hasNext && m_plan.steps[m_answer.answeredSteps].kind == ReplyStep::Kind::Probe;
@@ -678,15 +678,15 @@
             answerLocalSteps();
         }
         const bool hasStep = m_answer.answeredSteps < m_plan.steps.size();
-        if (!m_answer.failed && hasStep && !m_plan.steps[m_answer.answeredSteps].errorInstead.empty()) {
-            m_answer.bytes.append(m_plan.steps[m_answer.answeredSteps].errorInstead);
+        if (!m_answer.failed && hasStep && !m_plan.steps[m_answer.answeredSteps].errorOverride.empty()) {
+            m_answer.bytes.append(m_plan.steps[m_answer.answeredSteps].errorOverride);
         } else {
-            pass(message);
+            forward(message);
         }
         m_answer.failed = true;
     }
 
-    bool takeReady(const Message &message)
+    bool handleReady(const Message &message)
     {
         if (message.payload.size() != 1) {
             return false;
@@ -701,7 +701,7 @@
         return true;
     }
 
-    bool takeStepAnswer(const Message &message)
+    bool handleStepAnswer(const Message &message)
     {
         if (m_answer.failed) {
             return false;
@@ -713,44 +713,44 @@
             return false;
         }
         const ReplyStep::Kind kind = m_plan.steps[m_answer.answeredSteps].kind;
-        const Fit fit = fitOf(kind, message.type);
-        if (fit == Fit::No) {
+        const StepMatch match = matchOf(kind, message.type);
+        if (match == StepMatch::No) {
             return false;
         }
         if (kind != ReplyStep::Kind::Probe) {
-            pass(message);
+            forward(message);
         }
-        m_isWithinStep = fit == Fit::Part;
-        m_answer.answeredSteps += fit == Fit::End ? 1 : 0;
+        m_isWithinStep = match == StepMatch::Part;
+        m_answer.answeredSteps += match == StepMatch::End ? 1 : 0;
         return true;
     }
 
-    enum class Fit { No, Part, End };
+    enum class StepMatch { No, Part, End };
 
-    static Fit fitOf(ReplyStep::Kind kind, char type)
+    static StepMatch matchOf(ReplyStep::Kind kind, char type)
     {
         const bool isDescription = type == 'T' || type == 'n';
         switch (kind) {
         case ReplyStep::Kind::Parse:
-            return type == '1' ? Fit::End : Fit::No;
+            return type == '1' ? StepMatch::End : StepMatch::No;
         case ReplyStep::Kind::Bind:
-            return type == '2' ? Fit::End : Fit::No;
+            return type == '2' ? StepMatch::End : StepMatch::No;
         case ReplyStep::Kind::Close:
         case ReplyStep::Kind::Probe:
-            return type == '3' ? Fit::End : Fit::No;
+            return type == '3' ? StepMatch::End : StepMatch::No;
         case ReplyStep::Kind::DescribeStatement:
-            return type == 't' ? Fit::Part : isDescription ? Fit::End : Fit::No;
+            return type == 't' ? StepMatch::Part : isDescription ? StepMatch::End : StepMatch::No;
         case ReplyStep::Kind::DescribePortal:
-            return isDescription ? Fit::End : Fit::No;
+            return isDescription ? StepMatch::End : StepMatch::No;
         case ReplyStep::Kind::Execute:
             if (type == 'D') {
-                return Fit::Part;
+                return StepMatch::Part;
             }
-            return type == 'C' || type == 'I' || type == 's' ? Fit::End : Fit::No;
+            return type == 'C' || type == 'I' || type == 's' ? StepMatch::End : StepMatch::No;
         case ReplyStep::Kind::Local:
             break;
         }
-        return Fit::No;
+        return StepMatch::No;
     }
 
     void answerLocalSteps()
@@ -765,7 +765,7 @@
         }
     }
 
-    void pass(const Message &message)
+    void forward(const Message &message)
     {
         appendMessage(m_answer.bytes, message.type, message.payload);
     }
@@ -782,7 +782,7 @@
     const std::function<char()> &m_transactionState;
     FrameReader m_reader;
     ComposedAnswer m_answer;
-    // True between the first and the last message that answer one step.
+    // True between the first and the last message of the answer to one step.
     bool m_isWithinStep = false;
     bool m_isFinished = false;
 };
--- a/src/wire/batchassembler.h
+++ b/src/wire/batchassembler.h
@@ -1,21 +1,22 @@
-// Turns a caller's message stream into batches and a batch into what an upstream
-// can run on any of its connections.
+// Splits a caller's message stream into batches, and translates each batch into one
+// that can run on any connection of an upstream.
 //
-// Prepared statements are the difficulty: a caller prepares a statement once and
-// uses its name in later batches, but each batch may run on another connection,
-// even at another upstream. So the front keeps the caller's names, sends names
-// that are derived from the statement's text, and lets the home prepare what a
-// connection lacks. The caller must not notice: each Parse and each Close that
-// the front keeps back is answered in its place among the upstream's answers.
+// A caller prepares a statement once and uses its name in later batches, but each batch
+// may run on another connection, even of another upstream. The front (the part of a host
+// that serves callers) therefore keeps the caller's names and sends names that are
+// derived from the statement's text. The home (the host that holds the upstream's
+// connections) prepares the statements that a connection lacks. The front answers the
+// Parse and Close messages that it doesn't forward, in their place among the upstream's
+// answers, so the caller sees no difference.
 //
-// An unnamed statement goes along in its batch as it came. Drivers use it for texts
-// that run once; under a name of its own each of these would stay with the upstream's
-// connections. Only when a later batch uses it does it get a derived name too.
+// An unnamed statement is sent in its batch unchanged. Drivers use it for texts that run
+// once; with derived names, each of these would stay prepared on the upstream's
+// connections. It gets a derived name only when a later batch uses it.
 //
-// The home prepares before it sends the batch, so a named statement cannot refer to
-// a table that the same batch creates; the upstream's error says so.
+// The home prepares statements before it sends the batch, so a named statement can't
+// refer to a table that the same batch creates; the upstream returns an error.
 //
-// Nothing here does I/O: bytes in, batches, plans and answers out.
+// This unit does no I/O.
 
 #pragma once
 
@@ -37,26 +38,26 @@
 namespace egrettide::pg
 {
 
-// What ends a batch, and with it decides what the answer ends in.
+// The message that ends a batch. It determines how the answer ends.
 enum class BatchEnd {
     Query, // a simple query: ReadyForQuery
     Sync, // an extended batch: ReadyForQuery
     Flush, // an extended batch that is to be answered without ReadyForQuery
-    FunctionCall, // never carried: an error and ReadyForQuery
-    Terminate, // the caller says goodbye: no answer
+    FunctionCall, // not supported: an error and ReadyForQuery
+    Terminate, // the caller closes the session: no answer
 };
 
 // Messages of one caller, up to and including the one that ends the batch.
 struct CallerBatch {
     BatchEnd end = BatchEnd::Sync;
     // Invariant: extended messages only (Parse, Bind, Describe, Execute, Close),
-    // or a single Query; the ending Sync or Flush is not in it.
+    // or a single Query; without the Sync or Flush that ends the batch.
     std::vector<Message> messages;
-    // What the batch holds in memory.
+    // Memory that the batch uses.
     std::size_t bytes = 0;
 };
 
-// Cuts a caller's byte stream into batches. After an error the stream cannot be
+// Splits a caller's byte stream into batches. After an error the stream cannot be
 // resynchronised and the connection has to be closed.
 class BatchAssembler
 {
@@ -65,26 +66,26 @@
     explicit BatchAssembler(std::size_t maxBatchBytes);
 
     void feed(std::string_view bytes);
-    // The next whole batch, nothing when more bytes are needed, or InvalidInput
-    // for a stream that no driver sends.
+    // The next complete batch; nothing when more bytes are needed; InvalidInput for a
+    // stream that violates the protocol.
     tl::expected<std::optional<CallerBatch>, Error> next();
     // The next single message, for the password exchange before the first batch.
     tl::expected<std::optional<Message>, Error> nextMessage();
-    // The next startup message, before anything else.
+    // The next startup message, before the first call of the other functions.
     tl::expected<std::optional<StartupMessage>, Error> nextStartup();
-    // True while the stream ends within a message or a batch.
+    // True while a message or a batch is incomplete.
     bool isMidBatch() const;
-    // Bytes fed that no batch has taken yet, those of the unfinished batch included.
+    // Bytes fed that were not returned in a batch yet, including the incomplete batch.
     std::size_t pendingBytes() const;
 
 private:
-    tl::expected<std::optional<CallerBatch>, Error> take(Message message);
-    tl::expected<std::optional<CallerBatch>, Error> finish(BatchEnd end);
-    void giveBackBuffer();
+    tl::expected<std::optional<CallerBatch>, Error> addMessage(Message message);
+    tl::expected<std::optional<CallerBatch>, Error> finishBatch(BatchEnd end);
+    void releaseBuffer();
 
     std::size_t m_maxBatchBytes;
     FrameReader m_reader;
-    // Since the reader was last empty.
+    // Bytes fed since the reader was last empty.
     std::size_t m_fedBytes = 0;
     CallerBatch m_current;
 };
@@ -92,28 +93,29 @@
 // A statement as the caller prepared it.
 struct CallerStatement {
     std::string text;
-    // Invariant: equal for two statements exactly when text and parameter types are.
+    // The name derived from the content. Invariant: equal for two statements if and only
+    // if text and parameter types are equal.
     std::string contentName;
     // The Parse message under the content name.
     std::string parseMessage;
 };
 
-// A statement that the front answers itself, such as SET egrettide.deadline.
+// A statement that the front answers itself, such as SET egrettide.timeout.
 struct LocalStatement {
     // Empty when it returns no rows.
     std::vector<std::string> columns;
-    // Applies the statement and gives DataRow and CommandComplete. It must not
-    // fail: a faulty value is refused before the batch starts.
+    // Applies the statement and returns DataRow and CommandComplete messages. It must
+    // not fail: invalid values are refused before the batch starts.
     std::function<std::string()> execute;
 };
 
-// Says how the front answers a statement itself: nothing when it is the
-// upstream's, an error when the whole batch has to be refused. Asked when a
-// statement is prepared and again when it is bound.
+// Decides whether the front answers a statement itself. Returns nothing for a statement
+// that goes to the upstream, and an error when the whole batch has to be refused. Called
+// when a statement is prepared, and again when it is bound or described.
 using LocalHook = std::function<tl::expected<std::optional<LocalStatement>, Error>(const std::string &sql)>;
 
-// What a portal or a prepared name stands for; neither is set for a name that is
-// not in use. `local` goes first: the front answers the statement itself then.
+// What the name of a portal or prepared statement refers to; both are unset for a name
+// that is not in use. If `local` is set, the front answers the statement itself.
 struct BoundStatement {
     std::shared_ptr<const CallerStatement> statement;
     std::shared_ptr<const LocalStatement> local;
@@ -124,13 +126,13 @@
     }
 };
 
-// One answer that the caller expects, in the order of its messages.
+// One answer that the caller expects; steps are in the order of its messages.
 struct ReplyStep {
     enum class Kind {
         Local, // the front's own answer
-        // A Close of no portal, whose answer the caller never sees: it proves that
-        // the home could prepare all statements, so that a later error is not taken
-        // for a failed Parse.
+        // A Close of a portal that doesn't exist, whose answer is not passed on to the
+        // caller. It shows that the home could prepare all statements, so that a later
+        // error is not mistaken for a failed Parse.
         Probe,
         Parse,
         Bind,
@@ -140,35 +142,36 @@
         Close,
     };
     Kind kind = Kind::Local;
-    // For Local: gives the bytes, run when its turn comes.
+    // For Local: returns the bytes of the answer. Called when the step is reached.
     std::function<std::string()> local;
-    // The name that the step defines or frees once it is answered.
+    // Whether the step, once answered, sets `name` to `value` among the statements or
+    // the portals; a `value` that is not known removes the name.
     bool definesStatement = false;
     bool definesPortal = false;
     std::string name;
     BoundStatement value;
-    // Takes the place of the upstream's ErrorResponse when it fails this step.
-    std::string errorInstead;
+    // Replaces the upstream's ErrorResponse when this step fails.
+    std::string errorOverride;
 };
 
-// A batch as it goes to the home, with all that is needed to compose its answer.
+// A batch as it is sent to the home, with all that is needed to compose its answer.
 struct BatchPlan {
     BatchEnd end = BatchEnd::Sync;
     // Empty when the front answers the whole batch itself.
     std::string batch;
     std::vector<PreparedStatement> prepared;
-    // The texts that the upstream would execute, in order.
+    // The texts that the upstream is to execute, in order.
     std::vector<std::string> executed;
-    // True when a portal is executed whose statement is not known here.
+    // True when a portal is executed whose statement is not known to the session.
     bool executesUnknown = false;
-    // Empty for a simple query, whose answer passes through as it is.
+    // Empty for a simple query, whose answer is passed on unchanged.
     std::vector<ReplyStep> steps;
 };
 
 // The answer for the caller.
 struct ComposedAnswer {
     std::string bytes;
-    // Steps answered before the first error; all when there was none.
+    // Number of steps answered before the first error; all when there was none.
     std::size_t answeredSteps = 0;
     bool failed = false;
 };
@@ -177,15 +180,15 @@
 class SessionStatements
 {
 public:
-    // Plans a batch against the names known now. Nothing changes until `commit`:
-    // a batch that fails half way defines only what was answered.
+    // Plans a batch with the names known now. Changes nothing until `commit`, since a
+    // batch that fails midway defines only the names of the answered steps.
     tl::expected<BatchPlan, Error> plan(const CallerBatch &batch, const LocalHook &localHook) const;
-    // Takes over the names that the answered steps define. Portals last as long
-    // as the transaction, so they are dropped when none is open any more.
+    // Applies the names that the answered steps define. Portals end with their
+    // transaction, so all are removed when none is open.
     void commit(const BatchPlan &plan, std::size_t answeredSteps, bool transactionOpen);
-    // Forgets one prepared statement, as DEALLOCATE does.
+    // Removes one prepared statement, as DEALLOCATE does.
     void forget(std::string_view name);
-    // Forgets all prepared statements, as DISCARD ALL and DEALLOCATE ALL do.
+    // Removes all prepared statements and portals, as for DISCARD ALL and DEALLOCATE ALL.
     void clear();
     std::size_t size() const;
 
@@ -196,11 +199,11 @@
     std::map<std::string, BoundStatement, std::less<>> m_portals;
 };
 
-// Puts the front's own answers among the upstream's. `answer` is the upstream's
-// whole answer, or empty when the batch never left; `transactionState` is then
-// asked for the state to report, after the steps have been applied. Returns
-// InvalidInput when the answer does not fit the batch, which would leave the caller
-// waiting for ever or hand it another answer's rows.
+// Merges the front's own answers with the upstream's. `answer` is the upstream's whole
+// answer, or empty when the batch was not sent; `transactionState` then returns the state
+// to report, and is called after the steps have been applied. Returns InvalidInput when
+// the answer doesn't match the batch: if it were passed on, the caller could wait forever
+// or read the rows of another statement.
 tl::expected<ComposedAnswer, Error> composeAnswer(const BatchPlan &plan, std::string_view answer,
                                                   const std::function<char()> &transactionState);
 
--- a/src/wire/difference.cpp
+++ b/src/wire/difference.cpp
@@ -1,4 +1,4 @@
-// Differences by the compression library, which takes the base as a prefix.
+// Differences between texts, by Zstandard compression with the base as prefix.
 
 #include "wire/difference.h"
 
@@ -15,25 +15,25 @@
 namespace
 {
 
-// Of 310 KB with 1,900 routes of random names the lowest level makes 14 KB in 0.2 ms, the
-// ninth the same in 1.3 ms (mean of 20, one core).
+// The lowest level compresses 310 KB (1,900 routes with random names) to 14 KB in 0.2 ms;
+// level 9 takes 1.3 ms for the same size.
 constexpr int compressionLevel = 1;
-// The bounds of the library's window.
-constexpr int leastWindowBits = 10;
-constexpr int mostWindowBits = 24;
+// Bounds of the window size, as powers of two in bytes.
+constexpr int minWindowBits = 10;
+constexpr int maxWindowBits = 24;
 
 using Compressor = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
-using Expander = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
+using Decompressor = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
 
-// The window has to reach back over the whole base.
+// The window has to cover the whole base.
 int windowBits(std::size_t bytes)
 {
-    return std::clamp(static_cast<int>(std::bit_width(bytes)), leastWindowBits, mostWindowBits);
+    return std::clamp(static_cast<int>(std::bit_width(bytes)), minWindowBits, maxWindowBits);
 }
 
 Error damaged(const char *reason)
 {
-    return Error{ErrorKind::InvalidInput, std::string("The difference cannot be used (") + reason + "); ask for the whole text.",
+    return Error{ErrorKind::InvalidInput, std::string("The difference cannot be used (") + reason + "); request the whole text.",
                  milliseconds{0}};
 }
 
@@ -50,7 +50,7 @@
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, compressionLevel);
     if (!base.empty()) {
         ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, windowBits(base.size() + text.size()));
-        // Else matches far back in the base are missed.
+        // Without it, matches far back in the base are missed.
         ZSTD_CCtx_setParameter(context.get(), ZSTD_c_enableLongDistanceMatching, 1);
         ZSTD_CCtx_refPrefix(context.get(), base.data(), base.size());
     }
@@ -65,19 +65,19 @@
 {
     const unsigned long long size = ZSTD_getFrameContentSize(difference.data(), difference.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > maxDifferenceText) {
-        return tl::unexpected(damaged("no text of a usable size"));
+        return tl::unexpected(damaged("its text size is missing or too large"));
     }
-    const Expander context(ZSTD_createDCtx(), ZSTD_freeDCtx);
+    const Decompressor context(ZSTD_createDCtx(), ZSTD_freeDCtx);
     if (!base.empty()) {
         ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
     }
     std::string text(size, '\0');
     const std::size_t got = ZSTD_decompressDCtx(context.get(), text.data(), text.size(), difference.data(), difference.size());
     if (ZSTD_isError(got) != 0U || got != text.size()) {
-        return tl::unexpected(damaged("damaged bytes"));
+        return tl::unexpected(damaged("its data is corrupt"));
     }
     if (digestOf(text) != digest) {
-        return tl::unexpected(damaged("another digest"));
+        return tl::unexpected(damaged("the digest does not match"));
     }
     return text;
 }
--- a/src/wire/difference.h
+++ b/src/wire/difference.h
@@ -1,4 +1,4 @@
-// Texts that travel as their difference from a text that the receiver holds.
+// Transfers a text as its difference from a base text that the receiver already has.
 
 #pragma once
 
@@ -14,19 +14,20 @@
 namespace egrettide
 {
 
-// A larger text is refused: a store's value is a megabyte at most, and a catalog holds a
+// Larger texts are refused. A value in the store has at most 1 MB, and a catalog holds a
 // few of them.
 constexpr std::size_t maxDifferenceText = std::size_t{8} * 1024 * 1024;
 
-// Equal texts have equal digests; others practically never.
+// A 64-bit hash that detects differences between texts; not collision-resistant against
+// an attacker.
 std::uint64_t digestOf(std::string_view text);
 
-// `text` compressed, with what it shares with `base` left out. An empty base gives the
+// Compresses `text` with `base` as the dictionary. With an empty base the result holds the
 // whole text.
 std::string differenceFrom(std::string_view base, std::string_view text);
 
-// Undoes differenceFrom() with the same base. InvalidInput when the bytes are damaged, belong
-// to another base, or the result does not have that digest.
+// Restores the text from its difference and the same base. InvalidInput when the bytes are
+// damaged or belong to another base, or when the digest of the result is not `digest`.
 tl::expected<std::string, Error> textFrom(std::string_view base, std::string_view difference, std::uint64_t digest);
 
 } // namespace egrettide
--- a/src/wire/hopcodec.cpp
+++ b/src/wire/hopcodec.cpp
@@ -1,4 +1,4 @@
-// Codec of the messages between hosts: one pack and one unpack per message.
+// Codec of the messages between hosts: a pack and an unpack function for each message.
 
 #include "wire/hopcodec.h"
 
@@ -22,10 +22,10 @@
 using Bytes = flatbuffers::Vector<std::uint8_t>;
 
 constexpr std::size_t initialBuilderBytes = 512;
-// Consumed bytes are dropped from the front once there are this many of them.
+// Consumed bytes are removed from the buffer once there are this many of them.
 constexpr std::size_t compactionBytes = std::size_t{64} * 1024;
 
-// A body that is ready to go into a frame.
+// The body of a frame, in the builder.
 struct PackedBody {
     wire::HopBody type;
     Offset<void> offset;
@@ -37,10 +37,10 @@
                  "A frame from a peer is malformed (" + what + "); check that both hosts run the same release.", milliseconds{0}};
 }
 
-// What goes wrong without it: a host takes gossip about a name that is no UTF-8 into
-// its view, and when an operator asks for the status, writing that as JSON throws
-// and ends the process. Names are text in every valid configuration.
-bool isText(const std::string &name)
+// True for valid UTF-8, which names have in every valid configuration. If gossip with any
+// other name got into the membership view, writing the status as JSON for an operator
+// would throw and end the process.
+bool isUtf8(const std::string &name)
 {
     const char *at = name.c_str();
     const char *const end = at + name.size();
@@ -57,8 +57,8 @@
     return builder.CreateVector(reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
 }
 
-// Absent strings and byte vectors read as empty: an older sender leaves out
-// fields that it does not know.
+// Absent strings and byte vectors are read as empty: an older sender omits fields that
+// its version doesn't have.
 std::string text(const flatbuffers::String *value)
 {
     return value == nullptr ? std::string() : value->str();
@@ -84,7 +84,7 @@
     return mark == nullptr ? std::nullopt : std::optional<LogMark>(unpackMark(mark));
 }
 
-// Rounded down: a home must never hold on to a request longer than its front.
+// Rounded down: a home must not keep a request longer than its front does.
 std::uint32_t remainingMilliseconds(TimePoint deadline, TimePoint now)
 {
     if (deadline <= now) {
@@ -104,8 +104,8 @@
                                  retryAfter);
 }
 
-// Nothing when the kind is out of range: a wrong kind would tell a caller the
-// wrong outcome, so such a frame is refused.
+// False when the kind is out of range. Such a frame is refused, since a wrong kind would
+// report a wrong outcome to the caller.
 bool unpackError(const wire::ErrorInfo *info, std::optional<Error> &error)
 {
     if (info == nullptr) {
@@ -159,7 +159,7 @@
     return hint;
 }
 
-// Collects one message's body; overloads for every member of HopMessage.
+// Builds the body of a message, with one overload for each member of HopMessage.
 class Packer
 {
 public:
@@ -348,7 +348,7 @@
     table.add_tenant(tenant);
     table.add_remaining_ms(remainingMilliseconds(request.deadline, m_now));
     if (request.objective) {
-        // Zero would mean that there is none.
+        // At least 1, since 0 means no objective.
         table.add_objective_ms(std::max<std::uint32_t>(1, remainingMilliseconds(*request.objective, m_now)));
     }
     if (request.freshness.floor) {
@@ -393,7 +393,7 @@
 Offset<wire::HostRecord> Packer::packRecord(const HostRecord &record) const
 {
     const auto name = m_builder.CreateString(record.name);
-    // Zones repeat in every record of a message.
+    // Shared, since the records of a message repeat the same zones.
     const auto zone = m_builder.CreateSharedString(record.zone);
     const auto peerAddress = m_builder.CreateString(record.peerAddress);
     const auto callerAddress = m_builder.CreateString(record.callerAddress);
@@ -418,8 +418,8 @@
     for (const VersionNote &note : message.versionNotes) {
         notes.emplace_back(note.hostKey, note.version.intent, note.version.registrations);
     }
-    // Empty parts are left out: most heartbeats carry no news, and they are what
-    // a host's control traffic consists of.
+    // Empty parts are omitted: most heartbeats carry no changes, and heartbeats make up
+    // most of a host's control traffic.
     const auto optionalText = [this](const std::string &value) {
         return value.empty() ? Offset<flatbuffers::String>() : m_builder.CreateString(value);
     };
@@ -520,8 +520,8 @@
     record.health = static_cast<HostHealth>(table.health());
     record.leaving = table.leaving();
     record.catalogVersion = {table.intent_version(), table.registrations_version()};
-    return isText(record.name) && isText(record.zone) && isText(record.peerAddress) && isText(record.callerAddress)
-        && isText(record.operatorAddress);
+    return isUtf8(record.name) && isUtf8(record.zone) && isUtf8(record.peerAddress) && isUtf8(record.callerAddress)
+        && isUtf8(record.operatorAddress);
 }
 
 bool unpackHealthNotes(const wire::Gossip &table, GossipMessage &message)
@@ -570,7 +570,7 @@
     message.sequence = table.sequence();
     message.target = text(table.target());
     message.targetAddress = text(table.target_address());
-    if (!isText(message.from) || !isText(message.fromAddress) || !isText(message.target) || !isText(message.targetAddress)) {
+    if (!isUtf8(message.from) || !isUtf8(message.fromAddress) || !isUtf8(message.target) || !isUtf8(message.targetAddress)) {
         return tl::unexpected(malformed("host name"));
     }
     message.catalogVersion = {table.intent_version(), table.registrations_version()};
@@ -603,7 +603,7 @@
     return Hello{table.version(), text(table.host()), text(table.zone()), table.incarnation()};
 }
 
-// A verdict out of range is refused: to take it for a grant would let anything through.
+// A verdict out of range is refused: read as a grant, it would bypass the quota.
 Decoded unpack(const wire::QuotaReply &table)
 {
     if (table.verdict() > static_cast<std::uint8_t>(QuotaVerdict::Kind::NotKeeper)) {
@@ -718,8 +718,8 @@
 
 tl::expected<HopMessage, Error> decodeFrame(std::string_view frame, TimePoint now)
 {
-    // FlatBuffers reads numbers in place and therefore wants them aligned;
-    // std::string's own storage is, a view into a receive buffer is not.
+    // Copies the frame, because FlatBuffers reads numbers in place and requires them to be
+    // aligned: std::string's storage is aligned, a view into a receive buffer is not.
     const std::string aligned(frame);
     const auto *data = reinterpret_cast<const std::uint8_t *>(aligned.data());
     flatbuffers::Verifier verifier(data, aligned.size());
--- a/src/wire/hopcodec.h
+++ b/src/wire/hopcodec.h
@@ -1,6 +1,8 @@
-// The messages between hosts as plain structs, and their codec. Frames are
-// FlatBuffers (schema/hop.fbs) behind a 4-byte big-endian length; every frame is
-// verified before a single field is read.
+// The messages between hosts as plain structs, and their codec. A hop is the way of a
+// request from its front (the part of a host that serves callers) to the home of an
+// upstream (the host that holds its connections). Frames are FlatBuffers
+// (schema/hop.fbs) after a 4-byte big-endian length; every frame is verified before
+// any field is read.
 
 #pragma once
 
@@ -22,15 +24,15 @@
 namespace egrettide::hop
 {
 
-// Raised when an older host would misread a newer frame; a link between hosts
-// of different versions is refused in Hello.
+// Incremented when an older host would misread a newer frame. Hosts of different
+// versions refuse the link at Hello.
 constexpr std::uint32_t protocolVersion = 2;
 
-// Larger frames are refused on both sides. Above the largest PostgreSQL message
-// so that a batch of one message always fits.
+// Larger frames are refused on both sides. Exceeds the largest PostgreSQL message, so
+// that a batch of one message always fits.
 constexpr std::size_t maxFrameBytes = std::size_t{24} * 1024 * 1024;
 
-// Bytes of the length in front of each frame.
+// Size of the length field before each frame.
 constexpr std::size_t frameHeaderBytes = 4;
 
 // The first message on a link, from both sides.
@@ -41,8 +43,8 @@
     std::uint64_t incarnation = 0;
 };
 
-// A request for the home of an upstream. The deadline travels as the time that
-// remains, rounded down, since clocks of hosts are never compared.
+// A request for the home of an upstream. The deadline is sent as the remaining time,
+// rounded down, since hosts don't compare their clocks.
 struct ExecuteRequest {
     StatementRequest request;
 };
@@ -51,19 +53,19 @@
     StatementReply reply;
 };
 
-// The caller gave up on the request; an answer is no longer needed.
+// The caller cancelled the request; no answer is needed.
 struct Cancel {
     std::uint64_t id = 0;
 };
 
-// The caller of an open transaction went away: the home rolls it back. A
-// transaction of 0 means every transaction that came over this link.
+// The caller of an open transaction disconnected: the home rolls the transaction back.
+// A transaction of 0 means every transaction that was started over this link.
 struct FrontGone {
     std::string upstream;
     std::uint64_t transaction = 0;
 };
 
-// The receiver may have this many more bytes of requests outstanding.
+// Flow control: allows the receiver this many more bytes of outstanding requests.
 struct Credit {
     std::uint64_t bytes = 0;
 };
@@ -72,13 +74,13 @@
     GossipMessage message;
 };
 
-// Asks another home of the group whether it, too, has lost the upstream.
+// Asks another home of the group whether it has lost the upstream, too.
 struct Opinion {
     std::uint64_t id = 0;
     std::string database;
     std::string upstream;
-    // The upstream whose home is asked, the suspected primary and its term; empty
-    // when the question is about `upstream` alone.
+    // The upstream whose home is asked, the suspected primary and its term; unset when
+    // the question is only about `upstream`.
     std::string home{};
     std::string primary{};
     Term term = 0;
@@ -87,11 +89,11 @@
 struct OpinionReply {
     std::uint64_t id = 0;
     bool suspects = false;
-    // True when the answering home saw the upstream alive a moment ago.
+    // True when the answering home has received an answer of the upstream recently.
     bool alive = false;
 };
 
-// Tells the other homes of a group who leads in which term.
+// Announces the primary of a term to the other homes of the group.
 struct Announce {
     std::string database;
     Term term = 0;
@@ -123,17 +125,17 @@
     std::optional<Error> error;
 };
 
-// A former home has closed its last connection to the upstream; the new home
-// may now use the whole budget.
+// A former home has closed its last connection to the upstream; the new home may now
+// use all slots.
 struct Release {
     std::string upstream;
     std::string database{};
-    // False when the sender itself still waited for its own predecessor.
+    // False when the sender itself was still waiting for its own predecessor.
     bool settled = false;
 };
 
-// Asks a host of the zone whether it, too, sees the sender as the upstream's
-// home: a majority of such answers bounds how many hosts open connections.
+// Asks a host of the zone whether it also regards the sender as the upstream's home. A
+// majority of such answers is required, which bounds how many hosts open connections.
 struct HomeClaim {
     std::uint64_t id = 0;
     std::string database;
@@ -145,40 +147,42 @@
     bool agrees = false;
 };
 
-// Keeps a quiet link honest; answered with the same number.
+// Heartbeat that detects a broken link while no other frames are sent. The receiver
+// answers with the same number.
 struct Ping {
     std::uint64_t number = 0;
     bool answer = false;
 };
 
-// "This is how new my copy of the store is."
+// Offers the sender's catalog (its copy of the store) in this version.
 struct CatalogOffer {
     CatalogVersion version;
-    // False when the sender should read the store for its zone and does not reach it: the
-    // receiver has to do so in its place.
+    // False when the sender is to read the store for its zone and can't reach it: the
+    // receiver has to read it instead.
     bool readsStore = true;
 };
 
-// "I hold this much; send me what you have."
+// Requests the catalog of the receiver; the sender has this version.
 struct CatalogPull {
     CatalogVersion version;
-    // Of the text that the sender holds, from which the answer may be a difference; 0 when
-    // it wants the whole.
+    // The digest of the sender's text, which the answer may use as the base of a
+    // difference; 0 to request the whole text.
     std::uint64_t digest = 0;
 };
 
 struct CatalogPush {
     CatalogVersion version;
     CatalogRevisions through;
-    // Of the text from which `difference` is taken; 0 when it is the whole.
+    // The digest of the base of `difference`; 0 when that holds the whole text.
     std::uint64_t baseDigest = 0;
-    // Of the text that it gives.
+    // The digest of the resulting text.
     std::uint64_t digest = 0;
-    // See textFrom().
+    // See wire/difference.h.
     std::string difference;
 };
 
-// Asks the keeper of a workspace's quota to count one request; see QuotaKeeper.
+// Asks the host that counts a workspace's quota (its keeper) to count one request; see
+// QuotaKeeper.
 struct QuotaAsk {
     std::uint64_t id = 0;
     std::string workspace;
@@ -193,14 +197,14 @@
                                 Announce, ConfigOffer, ConfigPull, ConfigPush, SwitchoverRequest, SwitchoverReply, Release, Ping,
                                 HomeClaim, HomeClaimReply, CatalogOffer, CatalogPull, CatalogPush, QuotaAsk, QuotaReply>;
 
-// The whole frame, length included, as it goes onto the socket. `now` turns
-// deadlines into remaining time. Frames above maxFrameBytes are encoded too; the
-// sender has to check the size, as the receiver will refuse them.
+// The whole frame with its length, as it is sent. `now` converts deadlines to remaining
+// times. Frames larger than maxFrameBytes are encoded as well; the sender has to check
+// the size, since the receiver refuses them.
 std::string encodeFrame(const HopMessage &message, TimePoint now);
 
-// Decodes one frame without its length. `now` is the local time of receipt: it
-// becomes receivedAt, and remaining times become deadlines counted from it.
-// Malformed bytes give InvalidInput, after which the link has to be closed.
+// Decodes one frame without its length. `now` is the local time of receipt: it becomes
+// receivedAt, and remaining times become deadlines relative to it. Returns InvalidInput
+// for malformed bytes; the link then has to be closed.
 tl::expected<HopMessage, Error> decodeFrame(std::string_view frame, TimePoint now);
 
 // Splits a byte stream into frames. After an error the stream cannot be
@@ -214,12 +218,12 @@
     // feed; nothing when more bytes are needed; InvalidInput when the length is
     // out of bounds.
     tl::expected<std::optional<std::string_view>, Error> next();
-    // Bytes fed and not yet handed out.
+    // Bytes fed and not yet returned.
     std::size_t buffered() const;
 
 private:
     std::string m_buffer;
-    // Invariant: m_consumed <= m_buffer.size(); bytes before it were handed out.
+    // Invariant: m_consumed <= m_buffer.size(); the bytes before it were returned.
     std::size_t m_consumed = 0;
 };
 
--- a/src/wire/pgwire.cpp
+++ b/src/wire/pgwire.cpp
@@ -63,7 +63,7 @@
     }
     const std::uint32_t length = uint32At(m_buffer, m_offset);
     if (length < 2 * lengthBytes || length > maxStartupBytes) {
-        return tl::unexpected(malformed("The startup message has an impossible length; connect with a PostgreSQL v3 driver."));
+        return tl::unexpected(malformed("The startup message has an invalid length; connect with a PostgreSQL v3 driver."));
     }
     if (buffered() < length) {
         return std::nullopt;
@@ -82,7 +82,7 @@
         startup.secretKey = *secretKey;
         return startup;
     }
-    // Any minor version carries its parameters in the same form.
+    // All minor versions encode their parameters alike.
     if (startup.code >> 16U != protocolVersion3 >> 16U) {
         return startup;
     }
@@ -112,7 +112,7 @@
     }
     const std::uint32_t length = uint32At(m_buffer, m_offset + 1);
     if (length < lengthBytes) {
-        return tl::unexpected(malformed("A message has an impossible length; the connection is closed, connect again."));
+        return tl::unexpected(malformed("A message has an invalid length; the connection is closed, connect again."));
     }
     if (length > maxMessageBytes) {
         return tl::unexpected(malformed("A message is larger than 16 MiB; send the data in smaller statements."));
--- a/src/wire/pgwire.h
+++ b/src/wire/pgwire.h
@@ -1,5 +1,5 @@
-// Framing of the PostgreSQL v3 protocol: splits a byte stream into messages and
-// builds the messages that a server or a client sends. Payloads stay opaque.
+// Framing of the PostgreSQL v3 protocol: splits a byte stream into messages, and builds
+// the messages that a server or a client sends.
 
 #pragma once
 
@@ -17,8 +17,8 @@
 namespace egrettide::pg
 {
 
-// Larger messages are refused: a proxy that buffers them would let one caller
-// take the memory of all.
+// Larger messages are refused, since messages are buffered and one caller could exhaust
+// the memory of the host.
 constexpr std::size_t maxMessageBytes = std::size_t{16} * 1024 * 1024;
 constexpr std::size_t maxStartupBytes = 10000;
 
@@ -32,7 +32,7 @@
     char type = 0;
     std::string payload;
 
-    // The message as it goes over the wire.
+    // The encoded message.
     std::string bytes() const;
 };
 
@@ -46,17 +46,17 @@
     std::uint32_t secretKey = 0;
 };
 
-// Collects bytes and hands out whole messages. After an error the stream cannot
+// Buffers bytes and returns complete messages. After an error the stream cannot
 // be resynchronised and the connection has to be closed.
 class FrameReader
 {
 public:
     void feed(std::string_view bytes);
-    // The next whole startup message, nothing when more bytes are needed.
+    // The next complete startup message; nothing when more bytes are needed.
     tl::expected<std::optional<StartupMessage>, Error> nextStartup();
-    // The next whole message, nothing when more bytes are needed.
+    // The next complete message; nothing when more bytes are needed.
     tl::expected<std::optional<Message>, Error> next();
-    // Bytes fed and not yet handed out.
+    // Bytes fed and not yet returned.
     std::size_t buffered() const;
 
 private:
@@ -67,7 +67,8 @@
     std::size_t m_offset = 0;
 };
 
-// Reads fields off a payload; every reader returns nothing past the end.
+// Reads fields from a payload in order. Each function returns nothing when the payload
+// has too few bytes left.
 class PayloadReader
 {
 public:
@@ -87,7 +88,7 @@
     std::string_view m_rest;
 };
 
-// Builders append one message to `out`.
+// Each function appends one message, or one field, to `out`.
 void appendMessage(std::string &out, char type, std::string_view payload);
 void appendUint16(std::string &out, std::uint16_t value);
 void appendUint32(std::string &out, std::uint32_t value);
@@ -110,7 +111,7 @@
 void appendNotice(std::string &out, std::string_view sqlState, std::string_view text);
 // A RowDescription of text columns.
 void appendRowDescription(std::string &out, const std::vector<std::string> &columns);
-// A DataRow of text values; nothing is NULL.
+// A DataRow of text values; std::nullopt is NULL.
 void appendDataRow(std::string &out, const std::vector<std::optional<std::string>> &values);
 
 // The fields of an ErrorResponse or NoticeResponse.
@@ -122,7 +123,7 @@
 };
 ErrorFields parseErrorFields(std::string_view payload);
 
-// The values of a DataRow, nothing when the payload is malformed.
+// The values of a DataRow, std::nullopt for NULL; nothing when the payload is malformed.
 std::optional<std::vector<std::optional<std::string>>> parseDataRow(std::string_view payload);
 
 } // namespace egrettide::pg
