--- a/tests/core/batchassembler_test.cpp
+++ b/tests/core/batchassembler_test.cpp
@@ -1,4 +1,4 @@
-// Batches, plans and composed answers, without sockets.
+// Tests of batches, plans and composed answers, without sockets.
 
 #define BOOST_TEST_MODULE BatchAssembler
 #include <boost/test/unit_test.hpp>
@@ -105,8 +105,8 @@
     return types;
 }
 
-// A caller behind the front's plans, each batch on a fresh connection unless a
-// transaction is open: what a pool would do at its worst.
+// A caller whose batches are planned by the front and run on a new connection each, unless
+// a transaction is open. This is the worst case of a connection pool.
 class PlannedCaller
 {
 public:
@@ -136,7 +136,7 @@
         }
         const auto composed = composeAnswer(*plan, answer, [this] { return m_connection.state(); });
         if (!composed) {
-            return "misfit: " + composed.error().message;
+            return "mismatch: " + composed.error().message;
         }
         m_statements.commit(*plan, composed->answeredSteps, m_connection.state() != 'I');
         return composed->bytes;
@@ -217,7 +217,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(DamagedStreamsEndInAnErrorAndNeverInABatchThatIsNotWhole)
+BOOST_AUTO_TEST_CASE(DamagedStreamsGiveAnErrorAndNeverAnIncompleteBatch)
 {
     BOOST_TEST(rc::check("damage is refused or read as another message", [] {
         std::string stream = joined(*rc::gen::container<std::vector<std::string>>(anyMessage())) + syncMessage;
@@ -260,9 +260,9 @@
 
 BOOST_AUTO_TEST_SUITE(PlannedBatches)
 
-// The naive version keeps one upstream connection for the caller and passes
-// everything through. The front's plans, which change the connection with each
-// batch, have to give the caller the same bytes.
+// Compares with a reference that keeps one upstream connection for the caller and forwards
+// everything. The front's plans, which change the connection with each batch, have to
+// return the same bytes to the caller.
 BOOST_AUTO_TEST_CASE(AnswersAreThoseOfAConnectionOfItsOwn)
 {
     BOOST_TEST(rc::check("planned and passed-through answers are equal", [] {
@@ -314,9 +314,9 @@
     BOOST_TEST(guessed->batch.find(plan->prepared.front().name) == std::string::npos);
 }
 
-// Symptom: the upstream's connections collect a statement for each text ever run.
-// Sequence: a driver runs texts with their values in them, each as the unnamed statement.
-// Cause: every text got a name of its own.
+// Unnamed statements must not get derived names. A driver that sends texts with literal
+// values as unnamed statements would leave one prepared statement per text on the
+// upstream's connections.
 BOOST_AUTO_TEST_CASE(UnnamedStatementsLeaveNothingBehind)
 {
     SessionStatements session;
@@ -339,7 +339,7 @@
     BOOST_TEST(nameOf("SELECT 1") != nameOf("SELECT 2"));
 }
 
-BOOST_AUTO_TEST_CASE(LocalStatementsAreAnsweredAmongTheUpstreams)
+BOOST_AUTO_TEST_CASE(LocalStatementsAreAnsweredInOrderWithTheUpstreams)
 {
     PlannedCaller caller(localSet);
     const std::string answer = caller.run(parse("", "SET x") + bindTo("", "") + describe('P', "") + execute("")
@@ -355,10 +355,10 @@
     BOOST_TEST(typesOf(caller.run(bindTo("", "a") + execute("") + syncMessage)) == "2DCZ");
 }
 
-// Symptom: a caller reads the rows of another statement, or waits for ever.
-// Sequence: the upstream's answer has a message more or less than the batch asks for.
-// Cause: answers are matched to steps by their order alone.
-BOOST_AUTO_TEST_CASE(AnswersThatDoNotFitAreRefused)
+// An answer with more or fewer messages than the batch requires must be refused. Answers
+// are matched to steps by their order only, so the caller could otherwise read the rows of
+// another statement, or wait forever.
+BOOST_AUTO_TEST_CASE(AnswersThatDoNotMatchTheBatchAreRefused)
 {
     const auto batch = batchesOf({parse("a", "SELECT 1") + bindTo("", "a") + execute("") + syncMessage}).front();
     const auto plan = SessionStatements().plan(batch, nothingLocal);
--- a/tests/core/calleradmission_test.cpp
+++ b/tests/core/calleradmission_test.cpp
@@ -1,4 +1,4 @@
-// From keys to workspaces.
+// Tests of the admission of callers by their key.
 
 #define BOOST_TEST_MODULE CallerAdmission
 #include <boost/test/unit_test.hpp>
@@ -52,7 +52,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(AsksNobodyWhereNoKeysAreAskedFor)
+BOOST_AUTO_TEST_CASE(AdmitsAnyKeyWhereNoKeysAreRequired)
 {
     BOOST_TEST(workspaceFor(configurationWith(false), "closed", "anybody").value_or("refused").empty());
 }
--- a/tests/core/classifier_test.cpp
+++ b/tests/core/classifier_test.cpp
@@ -1,4 +1,4 @@
-// What the classifier proves about statements, and that no text breaks it.
+// Tests of the classification of statements, including arbitrary input.
 
 #define BOOST_TEST_MODULE Classifier
 #include <boost/test/unit_test.hpp>
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(Classifier_)
 
-BOOST_AUTO_TEST_CASE(ProvesOrdinaryQueriesToRead)
+BOOST_AUTO_TEST_CASE(ClassifiesOrdinaryQueriesAsReads)
 {
     expectKind(StatementKind::Read,
                {"SELECT 1", "select * from slots where tutor = $1 order by start limit 10", "VALUES (1), (2)", "TABLE slots",
@@ -54,7 +54,7 @@
                 "/* hint */ SELECT 1 -- end"});
 }
 
-BOOST_AUTO_TEST_CASE(CountsEverythingUnprovenAsAWrite)
+BOOST_AUTO_TEST_CASE(ClassifiesUnprovenStatementsAsWrites)
 {
     expectKind(StatementKind::Write,
                {"INSERT INTO t VALUES (1)",
@@ -154,7 +154,7 @@
     expectKind(StatementKind::Write, {"BEGIN; SELECT 1; COMMIT", "BEGIN; UPDATE t SET a = 1; ROLLBACK"});
 }
 
-BOOST_AUTO_TEST_CASE(HandsSettingsToTheFront)
+BOOST_AUTO_TEST_CASE(ReturnsSettingsForTheFront)
 {
     const auto set = detail::classifyText("SET Egrettide.Freshness = '500ms'");
     BOOST_REQUIRE((set.kind == StatementKind::Setting));
@@ -179,9 +179,8 @@
     BOOST_TEST((transactionOnlyError().kind == ErrorKind::Unsupported));
 }
 
-// Symptom: one caller's statement ends the process, and with it all sessions of the host.
-// Sequence: a text such as 1+1+1... with a hundred thousand terms arrives.
-// Cause: the parser writes its left-deep tree out by recursion and the stack ends.
+// The parser serializes left-deep trees by recursion. A text such as 1+1+1... with 100,000
+// terms overflows the stack and ends the process, with all sessions of the host.
 BOOST_AUTO_TEST_CASE(SurvivesDeepTreesOnATrafficThread)
 {
     std::thread([] {
@@ -203,7 +202,7 @@
     expectKind(StatementKind::Begin, {"BEGIN; " + data});
 }
 
-BOOST_AUTO_TEST_CASE(RemembersABoundedNumberOfTexts)
+BOOST_AUTO_TEST_CASE(CachesABoundedNumberOfTexts)
 {
     Classifier classifier(2);
     const auto first = classifier.classify("SELECT 1");
@@ -212,7 +211,7 @@
     classifier.classify("SELECT 3");
     BOOST_TEST(classifier.size() == 2U);
     BOOST_TEST(classifier.hits() == 1U);
-    BOOST_TEST((classifier.classify("SELECT 1") == first), "the least recently used text should have left");
+    BOOST_TEST((classifier.classify("SELECT 1") == first), "the least recently used text should have been evicted");
 }
 
 BOOST_AUTO_TEST_CASE(AnyBytesGetAnAnswer)
@@ -235,7 +234,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(AWritingPartAnywhereMakesTheWholeAWrite)
+BOOST_AUTO_TEST_CASE(ADataModifyingPartAnywhereMakesTheStatementAWrite)
 {
     BOOST_TEST(rc::check("no wrapping hides a data-modifying part", [] {
         const auto part = *rc::gen::elementOf(std::vector<std::string>{"SELECT nextval('s') AS a", "SELECT a FROM t FOR UPDATE",
--- a/tests/core/difference_test.cpp
+++ b/tests/core/difference_test.cpp
@@ -1,4 +1,4 @@
-// Texts as differences from texts that the receiver holds.
+// Tests of the transfer of texts as differences from a base text.
 
 #define BOOST_TEST_MODULE Difference
 #include <boost/test/unit_test.hpp>
@@ -15,7 +15,7 @@
 namespace
 {
 
-// A configuration of that many routes, as a store holds it.
+// A configuration with `count` routes, in the format of the store.
 std::string routes(int count, int timeout = 1000)
 {
     std::mt19937_64 random(7);
@@ -43,10 +43,8 @@
     BOOST_TEST(holds);
 }
 
-// Symptom: each change of one route takes every link a second of its capacity.
-// Sequence: the configuration has 1,900 routes; it goes to each host whole.
-// Cause: a change was not told as a change.
-// Of 1,900 routes, about 240 KB: a change of one took 240 KB before.
+// A change of one route must not send the whole configuration (240 KB for 1,900 routes) to
+// each host, which takes a second of every link's capacity.
 BOOST_AUTO_TEST_CASE(AreAsSmallAsTheChange)
 {
     const std::string before = routes(1900);
@@ -65,7 +63,7 @@
     BOOST_TEST(!textFrom({}, difference, digestOf(text)).has_value());
 }
 
-// A damaged difference gives an error or the very text, never another one.
+// A damaged difference gives an error or the original text, never another text.
 BOOST_AUTO_TEST_CASE(ThatAreDamagedAreRefused)
 {
     const std::string base = routes(30);
--- a/tests/core/hopcodec_test.cpp
+++ b/tests/core/hopcodec_test.cpp
@@ -1,4 +1,5 @@
-// The codec between hosts: every message survives the way, no bytes crash it.
+// Tests of the codec of the messages between hosts: every message survives encoding and
+// decoding, and no input crashes the decoder.
 
 #define BOOST_TEST_MODULE HopCodec
 #include <boost/test/unit_test.hpp>
@@ -97,8 +98,8 @@
     return reply;
 }
 
-// Any text, characters of several bytes among it: names of hosts have to be UTF-8,
-// since they are shown to operators as JSON.
+// Arbitrary UTF-8, including multi-byte characters: names of hosts have to be UTF-8, since
+// they are shown to operators as JSON.
 std::string arbitraryName()
 {
     static const std::vector<std::string> characters = {
@@ -138,7 +139,7 @@
     return message;
 }
 
-// One frame of each kind, as a base for damaged ones.
+// Frames of several types, to be damaged by the tests.
 std::vector<std::string> sampleFrames()
 {
     StatementRequest request;
@@ -178,7 +179,7 @@
 
 BOOST_AUTO_TEST_CASE(CarriesEveryFieldOfARequest)
 {
-    BOOST_TEST(rc::check("a request survives the way", [] {
+    BOOST_TEST(rc::check("a request survives encoding and decoding", [] {
         StatementRequest request = arbitraryRequest();
         request.deadline = sentAt + milliseconds{*rc::gen::inRange(0, 1000000)};
         request.receivedAt = sentAt;
@@ -208,7 +209,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(NeverGivesAHomeMoreTimeThanTheFrontHas)
+BOOST_AUTO_TEST_CASE(NeverExtendsTheRemainingTimeOfTheFront)
 {
     BOOST_TEST(rc::check("the remaining time only shrinks", [] {
         StatementRequest request;
@@ -220,7 +221,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(KeepsADeadlineThatIsPracticallyNever)
+BOOST_AUTO_TEST_CASE(KeepsAnUnlimitedDeadline)
 {
     StatementRequest request;
     request.deadline = TimePoint::max();
@@ -228,12 +229,12 @@
     const auto decoded = decodeFrame(std::string_view(frame).substr(frameHeaderBytes), receivedAt);
     BOOST_REQUIRE(decoded.has_value());
     const TimePoint deadline = std::get<ExecuteRequest>(*decoded).request.deadline;
-    BOOST_TEST((deadline > receivedAt + std::chrono::hours{24}), "an endless deadline shrank to less than a day");
+    BOOST_TEST((deadline > receivedAt + std::chrono::hours{24}), "an unlimited deadline was cut to less than a day");
 }
 
 BOOST_AUTO_TEST_CASE(CarriesEveryFieldOfAReply)
 {
-    BOOST_TEST(rc::check("a reply survives the way", [] {
+    BOOST_TEST(rc::check("a reply survives encoding and decoding", [] {
         const StatementReply reply = arbitraryReply();
         const auto decoded = std::get<ExecuteReply>(roundTrip(ExecuteReply{reply})).reply;
         RC_ASSERT(decoded.id == reply.id);
@@ -267,15 +268,15 @@
 
 BOOST_AUTO_TEST_CASE(CarriesEveryFieldOfGossip)
 {
-    BOOST_TEST(rc::check("gossip survives the way", [] {
+    BOOST_TEST(rc::check("gossip survives encoding and decoding", [] {
         const GossipMessage message = arbitraryGossip();
         RC_ASSERT(std::get<Gossip>(roundTrip(Gossip{message})).message == message);
     }));
 }
 
-// Names that are no text were carried before; a host that took one ended when an
-// operator asked for its status (see fuzz_test).
-BOOST_AUTO_TEST_CASE(CarriesGossipWithAnyBytesWholeOrNotAtAll)
+// A name that isn't valid UTF-8 must be refused: a host that accepted one crashed when an
+// operator requested its status (see fuzz_test).
+BOOST_AUTO_TEST_CASE(DecodesGossipWithArbitraryBytesExactlyOrRefusesIt)
 {
     int carried = 0;
     int refused = 0;
@@ -296,7 +297,7 @@
 
 BOOST_AUTO_TEST_CASE(CarriesTheSmallMessages)
 {
-    BOOST_TEST(rc::check("each small message survives the way", [] {
+    BOOST_TEST(rc::check("each small message survives encoding and decoding", [] {
         const auto number = *rc::gen::arbitrary<std::uint64_t>();
         const std::string one = arbitraryText();
         const std::string two = arbitraryText();
@@ -348,11 +349,9 @@
     }));
 }
 
-// Symptom: a host crashes or reads beyond a buffer when a peer sends garbage.
-// Sequence: a frame is damaged, cut short or invented; the decoder follows an
-// offset in it.
-// Cause: FlatBuffers reads in place; without verification offsets are trusted.
-BOOST_AUTO_TEST_CASE(RefusesOrReadsDamagedFramesButNeverCrashes)
+// FlatBuffers reads in place and trusts the offsets in a frame. Without verification, a
+// damaged, truncated or forged frame makes a host crash or read beyond the buffer.
+BOOST_AUTO_TEST_CASE(RefusesOrDecodesDamagedFramesWithoutCrashing)
 {
     const std::vector<std::string> frames = sampleFrames();
     BOOST_TEST(rc::check("damaged frames give a message or InvalidInput", [&frames] {
@@ -366,7 +365,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesInventedFrames)
+BOOST_AUTO_TEST_CASE(RefusesRandomFrames)
 {
     BOOST_TEST(rc::check("random bytes give InvalidInput", [] {
         const auto decoded = decodeFrame(arbitraryText(), receivedAt);
@@ -375,14 +374,14 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(SplitsTheSameFramesHoweverTheStreamIsCut)
+BOOST_AUTO_TEST_CASE(SplitsTheSameFramesForAnyChunking)
 {
     const std::vector<std::string> frames = sampleFrames();
     std::string stream;
     for (const std::string &frame : frames) {
         stream += frame;
     }
-    BOOST_TEST(rc::check("cuts do not matter", [&] {
+    BOOST_TEST(rc::check("the same frames for any chunk sizes", [&] {
         FrameSplitter splitter;
         std::vector<std::string> seen;
         std::size_t offset = 0;
@@ -402,9 +401,8 @@
     }));
 }
 
-// Symptom: one bad length makes a host reserve gigabytes.
-// Sequence: a peer, or a stranger on the port, sends four bytes of 0xff.
-// Cause: the length is taken at its word and memory is held for it.
+// A length field of 0xffffffff, from a faulty peer or any other client of the port, must
+// not make a host reserve gigabytes of memory.
 BOOST_AUTO_TEST_CASE(RefusesALengthOutOfBounds)
 {
     FrameSplitter endless;
--- a/tests/core/sessionstate_test.cpp
+++ b/tests/core/sessionstate_test.cpp
@@ -1,4 +1,4 @@
-// What callers may set, and which freshness each of their statements gets.
+// Tests of session settings and of the freshness that statements require.
 
 #define BOOST_TEST_MODULE SessionState
 #include <boost/test/unit_test.hpp>
@@ -42,12 +42,13 @@
 
 BOOST_AUTO_TEST_SUITE(SessionState_)
 
-BOOST_AUTO_TEST_CASE(AnArrivalWithoutATokenReadsLatestUntilItsFloorIsKnown)
+BOOST_AUTO_TEST_CASE(ASessionWithoutATokenReadsLatestUntilItsFloorIsComplete)
 {
     SessionState state = freshState();
     const Freshness first = state.freshnessFor(StatementKind::Read);
     BOOST_TEST(first.latest);
-    BOOST_TEST((state.freshSince(arrival + milliseconds(9)) == arrival), "an unknown arrival counts from its arrival");
+    BOOST_TEST((state.freshSince(arrival + milliseconds(9)) == arrival),
+               "freshness of a session with an incomplete floor counts from its arrival");
     BOOST_TEST(state.token().empty());
     BOOST_TEST(state.onSeen(LogMark{2, 50}, first, StatementKind::Read));
     const Freshness second = state.freshnessFor(StatementKind::Read);
@@ -56,36 +57,36 @@
     BOOST_TEST(!state.token().empty());
 }
 
-// Symptom: a session misses its own write, made through another host.
-// Sequence: it arrives without a token, its first answer proves nothing, its next read goes to a late replica.
-// Cause: any answer made the session count as known.
-BOOST_AUTO_TEST_CASE(AnAnswerThatProvesNothingLeavesTheArrivalUnknown)
+// A session without a token must not treat its floor as complete after an answer that
+// doesn't cover its earlier work: its next read could then go to a lagging replica and
+// miss a write that it made through another host.
+BOOST_AUTO_TEST_CASE(AnAnswerWithoutLatestFreshnessLeavesTheFloorIncomplete)
 {
     SessionState state = freshState();
     BOOST_TEST(!state.onSeen(LogMark{2, 50}, Freshness{}, StatementKind::Read));
-    BOOST_TEST(state.unknownArrival());
+    BOOST_TEST(state.isFloorIncomplete());
     BOOST_TEST(state.freshnessFor(StatementKind::Read).latest);
     const Freshness begin = state.freshnessFor(StatementKind::Begin);
     BOOST_TEST(!state.onSeen(LogMark{2, 50}, begin, StatementKind::Begin));
-    BOOST_TEST(state.unknownArrival());
+    BOOST_TEST(state.isFloorIncomplete());
     state.onSeen(LogMark{2, 60}, Freshness{}, StatementKind::Write);
-    BOOST_TEST(!state.unknownArrival());
+    BOOST_TEST(!state.isFloorIncomplete());
 }
 
 BOOST_AUTO_TEST_CASE(TakesItsFloorFromATokenOfItsOwnDatabaseOnly)
 {
     SessionState other = freshState();
     BOOST_TEST(other.applyStartup({{"egrettide.session", tokenFor("pitches", LogMark{9, 9})}}).has_value());
-    BOOST_TEST(other.unknownArrival());
+    BOOST_TEST(other.isFloorIncomplete());
     BOOST_TEST(!other.floor().has_value());
 
     SessionState own = freshState();
     BOOST_TEST(own.applyStartup({{"options", "-c egrettide.session=" + tokenFor("booking", LogMark{2, 7})}}).has_value());
-    BOOST_TEST(!own.unknownArrival());
+    BOOST_TEST(!own.isFloorIncomplete());
     BOOST_TEST((own.freshnessFor(StatementKind::Read).floor == LogMark{2, 7}));
 }
 
-BOOST_AUTO_TEST_CASE(ABadTokenAtStartupMakesAnUnknownArrivalAndInSetAnError)
+BOOST_AUTO_TEST_CASE(ABadTokenLeavesTheFloorIncompleteAtStartupAndIsAnErrorInSet)
 {
     SessionState state = freshState();
     BOOST_TEST(state.applyStartup({{"egrettide.session", "forged"}}).has_value());
@@ -138,7 +139,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(StatementsInsideATransactionAskForNothing)
+BOOST_AUTO_TEST_CASE(StatementsInsideATransactionRequireNoFreshness)
 {
     SessionState state = freshState();
     BOOST_TEST(state.freshnessFor(StatementKind::Begin).latest);
@@ -201,10 +202,10 @@
 
 BOOST_AUTO_TEST_CASE(AreNotRaisedByReads)
 {
-    // Symptom: while replicas lag, nearly all reads end up at the primary.
-    // Sequence: one read of a session is served by the primary; what it saw becomes the
-    // floor; no replica holds it, so the next read goes to the primary as well.
-    // Cause: a read that only asks for an age was bound by what an earlier one saw.
+    // A read that only limits the age must not be bound by the mark of an earlier read.
+    // Otherwise, while replicas lag, a read served by the primary raises the floor above
+    // all replicas, the session's next read goes to the primary as well, and in the end
+    // nearly all reads do.
     SessionDefaults defaults;
     defaults.database = "booking";
     defaults.startsKnown = true;
--- a/tests/core/sessiontoken_test.cpp
+++ b/tests/core/sessiontoken_test.cpp
@@ -1,4 +1,4 @@
-// That tokens carry a floor whole, and that nothing else passes for one.
+// Tests that a token preserves its floor, and that everything else is refused.
 
 #define BOOST_TEST_MODULE SessionToken
 #include <boost/test/unit_test.hpp>
@@ -52,7 +52,7 @@
         const auto at = *rc::gen::inRange<std::size_t>(0, token.size());
         token[at] = *rc::gen::distinctFrom(rc::gen::elementOf(std::string("abcXYZ019-_=+ ")), token[at]);
         const auto decoded = codec.decode(token);
-        // The last character of base64 may hold spare bits that carry nothing.
+        // The last character of base64 may contain unused bits.
         RC_ASSERT(!decoded.has_value() || (at + 1 == token.size() && *decoded == floor));
     }));
 }
--- a/tests/core/transactionfailure_test.cpp
+++ b/tests/core/transactionfailure_test.cpp
@@ -1,4 +1,4 @@
-// What a failed statement means for its transaction.
+// Tests of the errors of statements inside a transaction.
 
 #define BOOST_TEST_MODULE TransactionFailure
 #include <boost/test/unit_test.hpp>
@@ -29,10 +29,8 @@
 
 BOOST_AUTO_TEST_CASE(ThatMayHaveCommittedStayUnknown)
 {
-    // Symptom: a charge is run twice.
-    // Sequence: a COMMIT is sent, its answer lost; the caller is told to run the
-    // transaction again.
-    // Cause: the lost COMMIT was taken for a lost transaction.
+    // When the answer to a COMMIT is lost, the transaction may have been committed. If the
+    // caller were told to run it again, a charge could be made twice.
     BOOST_TEST((kindAfter(StatementKind::Commit, true, ErrorKind::Moved) == ErrorKind::UnknownOutcome));
     BOOST_TEST((kindAfter(StatementKind::Write, true, ErrorKind::Moved, true) == ErrorKind::UnknownOutcome));
     BOOST_TEST((kindAfter(StatementKind::Commit, false, ErrorKind::Moved) == ErrorKind::Conflict),
