--- a/src/wire/hopcodec.h
+++ b/src/wire/hopcodec.h
@@ -100,10 +100,12 @@
     std::string primary;
 };
 
+// Offers the configuration of the sender in this version.
 struct ConfigOffer {
     std::uint64_t version = 0;
 };
 
+// Requests the configuration if the receiver has a newer one than this version.
 struct ConfigPull {
     std::uint64_t version = 0;
 };
@@ -113,6 +115,8 @@
     std::string json;
 };
 
+// Asks a host for a planned change of the primary to the upstream `to`; if that is empty,
+// the receiver chooses the successor.
 struct SwitchoverRequest {
     std::uint64_t id = 0;
     std::string database;
@@ -125,8 +129,8 @@
     std::optional<Error> error;
 };
 
-// A former home has closed its last connection to the upstream; the new home may now
-// use all slots.
+// A former home has closed its last connection to the upstream, so that the new home
+// doesn't have to restrict its own connections any longer.
 struct Release {
     std::string upstream;
     std::string database{};
