--- a/src/wire/difference.cpp
+++ b/src/wire/difference.cpp
@@ -16,7 +16,7 @@
 {
 
 // The lowest level compresses 310 KB (1,900 routes with random names) to 14 KB in 0.2 ms;
-// level 9 takes 1.3 ms for the same size.
+// level 9 takes 1.3 ms for the same size (mean of 20, one core).
 constexpr int compressionLevel = 1;
 // Bounds of the window size, as powers of two in bytes.
 constexpr int minWindowBits = 10;
--- a/src/wire/pgwire.h
+++ b/src/wire/pgwire.h
@@ -1,5 +1,5 @@
-// Framing of the PostgreSQL v3 protocol: splits a byte stream into messages, and builds
-// the messages that a server or a client sends.
+// Framing of the PostgreSQL v3 protocol: splits a byte stream into messages without
+// interpreting their payloads, and builds the messages that a server or a client sends.
 
 #pragma once
 
