--- a/include/egrettide/core/connectionbudget.h
+++ b/include/egrettide/core/connectionbudget.h
@@ -153,7 +153,7 @@
     int dataConnections() const;
     int shareOf(double share) const;
     bool isConfirmed(TimePoint now) const;
-    void fall(TimePoint now);
+    void unsettle(TimePoint now);
 
     ConnectionBudgetOptions m_options;
     bool m_isHome = false;
--- a/include/egrettide/core/connectionplan.h
+++ b/include/egrettide/core/connectionplan.h
@@ -37,7 +37,7 @@
     milliseconds rateSpan{10000};
     // An owner that asks less often than this has nothing opened ahead of its requests: a
     // connection that waits for long only keeps others out.
-    double opensAheadAbove = 0.25;
+    double minimumOpenAheadRate = 0.25;
     // Owners whose rate is known; the least frequent are forgotten beyond it.
     std::size_t maximumOwners = 1024;
 };
@@ -92,11 +92,11 @@
     };
 
     double decayed(const Rate &rate, TimePoint now) const;
-    void forgetRare(TimePoint now);
-    std::optional<std::string_view> ownerInNeed(const std::vector<PooledConnection> &connections,
-                                                const std::vector<std::string_view> &waiting) const;
-    std::optional<std::size_t> victim(const std::vector<PooledConnection> &connections,
-                                      const std::vector<std::string_view> &waiting, TimePoint now) const;
+    void forgetRareOwners(TimePoint now);
+    std::optional<std::string_view> unservedOwner(const std::vector<PooledConnection> &connections,
+                                                  const std::vector<std::string_view> &waiting) const;
+    std::optional<std::size_t> evictionCandidate(const std::vector<PooledConnection> &connections,
+                                                 const std::vector<std::string_view> &waiting, TimePoint now) const;
     std::optional<std::string> ownerToOpenAhead(const std::vector<PooledConnection> &connections, TimePoint now) const;
 
     const ConnectionPlanOptions m_options;
--- a/include/egrettide/core/requestledger.h
+++ b/include/egrettide/core/requestledger.h
@@ -76,7 +76,7 @@
     std::optional<Error> error;
     // An answer is still outstanding there: nobody else may use that connection,
     // and it has to be closed.
-    std::optional<HopId> condemned;
+    std::optional<HopId> hopToClose;
 };
 
 // Switches that take one mechanism out, so that its proof can be shown to fail.
@@ -110,7 +110,7 @@
     // kind. Retry when time is left and `mayRetryElsewhere`, else Fail with it.
     LedgerAction notRun(AttemptId attempt, const Error &error, bool mayRetryElsewhere, TimePoint now);
     // The hop broke, or was never there, before a byte of the attempt was written.
-    LedgerAction neverLeft(AttemptId attempt, milliseconds retryAfter, TimePoint now);
+    LedgerAction notSent(AttemptId attempt, milliseconds retryAfter, TimePoint now);
     // The other side says that it does not know: Retry for what may run twice, else Fail.
     LedgerAction lost(AttemptId attempt, const Error &error, TimePoint now);
 
--- a/include/egrettide/core/router.h
+++ b/include/egrettide/core/router.h
@@ -70,7 +70,7 @@
     milliseconds avoidFor{200};
     // What an upstream's own home says of its health outweighs other homes' for
     // this long: a cut-off home calls everybody else unreachable.
-    milliseconds ownHomeTrust{1000};
+    milliseconds ownHintPrecedence{1000};
     // A replica that turned a read away for its position is left out of such reads for
     // this long, twice as long each time it does so again, up to the second; its next
     // answer ends it.
@@ -82,7 +82,7 @@
     milliseconds behindForLongest{640};
     // What another home says of a replica, or its own said long ago, may be old news: from
     // this age on it is not held against the replica.
-    milliseconds hintTrust{500};
+    milliseconds hintValidity{500};
     // The most upstreams that one request is sent to.
     int maxAttempts = 6;
 };
@@ -214,10 +214,10 @@
 
 private:
     // See RouterOptions::behindFor.
-    struct Behind {
+    struct NotFreshBackoff {
         TimePoint until;
         // How long it was last left out; 0 since its last answer to such a read.
-        milliseconds span{0};
+        milliseconds duration{0};
     };
     struct Member {
         std::string zone;
@@ -232,8 +232,8 @@
         TimePoint avoidUntil;
         // Reads of a session's own writes turned it away, or reads of any young state:
         // a replica may be too far behind for the ones and not for the others.
-        Behind forFloors;
-        Behind forAges;
+        NotFreshBackoff floorBackoff;
+        NotFreshBackoff ageBackoff;
         // Entries replayed a second, smoothed over hints; 0 when unknown.
         double replayRate = 0;
     };
@@ -254,7 +254,7 @@
     };
 
     // One choice's inputs.
-    struct Case {
+    struct ChoiceContext {
         const Group &group;
         const StatementRequest &request;
         const RouteAttempts &attempts;
@@ -264,21 +264,22 @@
     static bool readsOnly(StatementKind kind);
     const Group *group(std::string_view database) const;
     void learnMember(Member &member, const MemberHint &hint, bool fromOwnHome, TimePoint now) const;
-    void noteBehind(Behind &behind, TimePoint now) const;
+    void extendBackoff(NotFreshBackoff &backoff, TimePoint now) const;
     void noteRefusal(const StatementRequest &request, const StatementReply &reply, const std::string &upstream, TimePoint now);
-    static bool isBehind(const StatementRequest &request, const Member &member, TimePoint now);
+    static bool isBackedOff(const StatementRequest &request, const Member &member, TimePoint now);
     static bool isHealthy(const Member &member, TimePoint now);
     Route route(const Group &group, RouteAttempts &attempts, std::string upstream, std::optional<PrimaryReason> reason) const;
-    std::optional<Route> replicaRoute(const Case &about, RouteAttempts &attempts, std::mt19937_64 &random,
+    std::optional<Route> replicaRoute(const ChoiceContext &context, RouteAttempts &attempts, std::mt19937_64 &random,
                                       PrimaryReason &reason) const;
-    std::optional<Route> primaryRoute(const Case &about, RouteAttempts &attempts, std::optional<PrimaryReason> reason) const;
-    std::optional<Route> lastResort(const Case &about, RouteAttempts &attempts) const;
-    std::optional<PrimaryReason> unfit(const Case &about, const Member &member) const;
-    std::optional<PrimaryReason> unfitForBaseline(const Case &about, const Member &member) const;
-    static std::chrono::microseconds floorWait(const Case &about, const Member &member);
-    Candidate candidate(const Case &about, const std::string &upstream, const Member &member) const;
+    std::optional<Route> primaryRoute(const ChoiceContext &context, RouteAttempts &attempts,
+                                      std::optional<PrimaryReason> reason) const;
+    std::optional<Route> untriedReplicaRoute(const ChoiceContext &context, RouteAttempts &attempts) const;
+    std::optional<PrimaryReason> exclusionReason(const ChoiceContext &context, const Member &member) const;
+    std::optional<PrimaryReason> baselineExclusionReason(const ChoiceContext &context, const Member &member) const;
+    static std::chrono::microseconds floorWait(const ChoiceContext &context, const Member &member);
+    Candidate candidate(const ChoiceContext &context, const std::string &upstream, const Member &member) const;
     const Candidate &pick(const std::vector<Candidate> &all, std::mt19937_64 &random) const;
-    static bool spendsBudget(ErrorKind kind);
+    static bool consumesRetryBudget(ErrorKind kind);
     static bool mayRunAgain(const StatementRequest &request, const StatementReply &reply, TimePoint now);
     PrimaryReason refusalReason(const StatementRequest &request, const StatementReply &reply, std::string_view upstream) const;
     Finish finish(const StatementRequest &request, const StatementReply &reply, const RouteAttempts &attempts);
--- a/include/egrettide/core/slotscheduler.h
+++ b/include/egrettide/core/slotscheduler.h
@@ -193,7 +193,7 @@
 
     // Refuses everything that is queued with this error, which must be a NotRun
     // kind: nothing of it was sent. What is in use stays.
-    std::vector<TicketRefusal> drainAll(const Error &error);
+    std::vector<TicketRefusal> refuseAll(const Error &error);
 
     // When expire() has something to do; TimePoint::max() when nothing waits.
     TimePoint nextEventAt() const;
--- a/src/core/slots/classqueue.cpp
+++ b/src/core/slots/classqueue.cpp
@@ -76,14 +76,14 @@
     m_credit = std::clamp(m_credit - slotSeconds, -m_creditBound, m_creditBound);
 }
 
-void ClassQueue::noteArrival(bool waitsTooLong, bool asksTooMuch, milliseconds interval, TimePoint now)
+void ClassQueue::noteArrival(bool waitsTooLong, bool exceedsCapacity, milliseconds interval, TimePoint now)
 {
     if (!waitsTooLong) {
         m_standingSince = TimePoint::max();
-        m_overloaded = m_overloaded && asksTooMuch;
+        m_overloaded = m_overloaded && exceedsCapacity;
         return;
     }
-    if (!asksTooMuch) {
+    if (!exceedsCapacity) {
         return;
     }
     m_standingSince = std::min(m_standingSince, now);
--- a/src/core/slots/classqueue.h
+++ b/src/core/slots/classqueue.h
@@ -70,7 +70,7 @@
 
     // Notes, on an arrival, whether it would wait longer than a standing queue may
     // and whether arrivals ask for more slots than there are.
-    void noteArrival(bool waitsTooLong, bool asksTooMuch, milliseconds interval, TimePoint now);
+    void noteArrival(bool waitsTooLong, bool exceedsCapacity, milliseconds interval, TimePoint now);
     // True from when both held throughout the interval until neither does. Arrivals
     // alone decide the end: a short queue is what refusals bring about.
     bool isOverloaded() const
@@ -90,7 +90,7 @@
     ServiceEstimate service;
     // When the next refused caller is asked to come back, so that callers return
     // one by one and not all together.
-    TimePoint nextAppointment = TimePoint::min();
+    TimePoint nextRetryAt = TimePoint::min();
 
 private:
     ClassSpec m_spec;
--- a/src/core/slots/slotscheduler.cpp
+++ b/src/core/slots/slotscheduler.cpp
@@ -35,7 +35,7 @@
 constexpr double predictionSlack = 1.25;
 // Refused callers are asked back at this part of the drain rate, which leaves the
 // rest to callers that come for the first time.
-constexpr double appointmentPart = 0.5;
+constexpr double retryDrainFraction = 0.5;
 constexpr milliseconds shortestRetryAfter{1};
 
 } // namespace
@@ -51,7 +51,7 @@
     SlotActions transactionEnded(std::string_view className, TimePoint now);
     SlotActions expire(TimePoint now);
     bool withdraw(std::uint64_t id);
-    std::vector<TicketRefusal> drainAll(const Error &error);
+    std::vector<TicketRefusal> refuseAll(const Error &error);
     TimePoint nextEventAt() const;
 
     detail::SlotState m_state;
@@ -77,12 +77,12 @@
     std::optional<Pick> pickContinuation();
     std::optional<Pick> pickOrdinary(TimePoint now);
     const WaitingTicket *candidate(ClassQueue &queue, TimePoint now);
-    bool goesBefore(const Pick &left, const Pick &right) const;
+    bool precedes(const Pick &left, const Pick &right) const;
     void admit(const Pick &pick, TimePoint now, SlotActions &actions);
     void accrueAll(TimePoint now);
 
     // Refusal of what already waits.
-    void refuseHopeless(SlotActions &actions, TimePoint now);
+    void refuseUnmeetable(SlotActions &actions, TimePoint now);
     void refuseExpired(ClassQueue &queue, Lane lane, SlotActions &actions, TimePoint now);
     void demoteLate(ClassQueue &queue, Lane lane, std::uint64_t id, TimePoint now);
     void refusePredicted(ClassQueue &queue, SlotActions &actions, TimePoint now);
@@ -106,7 +106,7 @@
 
 bool SlotScheduler::Impl::isDuplicate(const StatementTicket &ticket) const
 {
-    return m_state.places.contains(ticket.id) || m_state.inUse.contains(ticket.id);
+    return m_state.ticketLocations.contains(ticket.id) || m_state.inUse.contains(ticket.id);
 }
 
 Admission SlotScheduler::Impl::enqueue(const StatementTicket &ticket, TimePoint now)
@@ -126,7 +126,7 @@
     if (m_state.queuedTickets == 0) {
         m_nextRecheck = now + recheckInterval;
     }
-    m_state.place(queue, lane, ticket, due, now);
+    m_state.addTicket(queue, lane, ticket, due, now);
 
     // Only this ticket may go here, as the caller learns of no other. Should another
     // have become admissible by the mere passing of time, expire() is due at once.
@@ -172,8 +172,8 @@
     // A backlog that shrinks, as after a pause, is no overload: its tickets and the
     // arrivals behind them are all answered in time.
     const bool waitsTooLong = Seconds(wait) > m_state.options.standingTarget;
-    const bool asksTooMuch = m_state.offeredBeside(queue, now) > m_state.slotsFor(queue, now);
-    queue.noteArrival(waitsTooLong, asksTooMuch, m_state.options.standingInterval, now);
+    const bool exceedsCapacity = m_state.offeredAtPriorityOf(queue, now) > m_state.slotsFor(queue, now);
+    queue.noteArrival(waitsTooLong, exceedsCapacity, m_state.options.standingInterval, now);
     if (wait <= 0) {
         return std::nullopt;
     }
@@ -216,10 +216,10 @@
     const double excess = waitSeconds - Seconds(deadline - now).count();
     const double service = m_state.serviceSeconds(queue);
     const auto earliest = now + toNanoseconds(std::max(excess, service));
-    const auto step = toNanoseconds(service / (m_state.slotsFor(queue, now) * appointmentPart));
+    const auto step = toNanoseconds(service / (m_state.slotsFor(queue, now) * retryDrainFraction));
     const TimePoint latest = now + m_state.options.maximumRetryAfter;
-    queue.nextAppointment = std::min(std::max(queue.nextAppointment, earliest) + step, latest);
-    const auto wait = std::chrono::ceil<milliseconds>(queue.nextAppointment - now);
+    queue.nextRetryAt = std::min(std::max(queue.nextRetryAt, earliest) + step, latest);
+    const auto wait = std::chrono::ceil<milliseconds>(queue.nextRetryAt - now);
     return std::max(wait, shortestRetryAfter);
 }
 
@@ -284,16 +284,16 @@
 
 bool SlotScheduler::Impl::withdraw(std::uint64_t id)
 {
-    const auto found = m_state.places.find(id);
-    if (found == m_state.places.end()) {
+    const auto found = m_state.ticketLocations.find(id);
+    if (found == m_state.ticketLocations.end()) {
         return false;
     }
     const auto [className, lane] = found->second;
-    m_state.unplace(m_state.classOf(className), lane, id);
+    m_state.removeTicket(m_state.classOf(className), lane, id);
     return true;
 }
 
-std::vector<TicketRefusal> SlotScheduler::Impl::drainAll(const Error &error)
+std::vector<TicketRefusal> SlotScheduler::Impl::refuseAll(const Error &error)
 {
     SlotActions actions;
     for (auto &[name, queue] : m_state.classes) {
@@ -308,7 +308,7 @@
 
 void SlotScheduler::Impl::dispatch(SlotActions &actions, TimePoint now)
 {
-    refuseHopeless(actions, now);
+    refuseUnmeetable(actions, now);
     accrueAll(now);
     while (const auto pick = pickNext(now)) {
         admit(*pick, now, actions);
@@ -352,7 +352,7 @@
             continue;
         }
         const Pick pick{&queue, waiting, false};
-        if (!best || goesBefore(pick, *best)) {
+        if (!best || precedes(pick, *best)) {
             best = pick;
         }
     }
@@ -374,7 +374,7 @@
         }
         ++competing;
         const Pick pick{&queue, waiting, queue.isInCredit() && !m_state.options.faults.ignoreReservations};
-        if (!best || goesBefore(pick, *best)) {
+        if (!best || precedes(pick, *best)) {
             best = pick;
         }
     }
@@ -385,7 +385,7 @@
     return best;
 }
 
-bool SlotScheduler::Impl::goesBefore(const Pick &left, const Pick &right) const
+bool SlotScheduler::Impl::precedes(const Pick &left, const Pick &right) const
 {
     if (left.fromReservation != right.fromReservation) {
         return left.fromReservation;
@@ -401,20 +401,20 @@
 
 const WaitingTicket *SlotScheduler::Impl::candidate(ClassQueue &queue, TimePoint now)
 {
-    const auto standsBackNow = [this, now](const std::string &tenant) { return m_state.standsBack(tenant, now); };
+    const auto isOverShareNow = [this, now](const std::string &tenant) { return m_state.isOverShare(tenant, now); };
     const WaitingTicket *best = nullptr;
-    bool bestStandsBack = false;
+    bool bestIsOverShare = false;
     for (const Lane lane : detail::allLanes) {
         if (lane == Lane::Continuation || queue.lane(lane).empty() || !m_state.isLaneOpen(queue, lane)) {
             continue;
         }
         const TicketLane &tickets = queue.lane(lane);
-        const WaitingTicket *waiting = tickets.firstFair(standsBackNow);
-        const bool waitingStandsBack = standsBackNow(waiting->tenant());
-        const bool earlier = best == nullptr || (waitingStandsBack == bestStandsBack && waiting->key < best->key);
-        if (earlier || (bestStandsBack && !waitingStandsBack)) {
+        const WaitingTicket *waiting = tickets.firstWithinShare(isOverShareNow);
+        const bool waitingIsOverShare = isOverShareNow(waiting->tenant());
+        const bool earlier = best == nullptr || (waitingIsOverShare == bestIsOverShare && waiting->key < best->key);
+        if (earlier || (bestIsOverShare && !waitingIsOverShare)) {
             best = waiting;
-            bestStandsBack = waitingStandsBack;
+            bestIsOverShare = waitingIsOverShare;
         }
     }
     return best;
@@ -425,7 +425,7 @@
     ClassQueue &queue = *pick.queue;
     const std::uint64_t id = pick.waiting->id();
     const Lane lane = detail::laneOf(pick.waiting->ticket);
-    const WaitingTicket taken = m_state.unplace(queue, lane, id);
+    const WaitingTicket taken = m_state.removeTicket(queue, lane, id);
     m_state.progressAt = now;
 
     const double charged = m_state.serviceSeconds(queue);
@@ -450,7 +450,7 @@
     }
 }
 
-void SlotScheduler::Impl::refuseHopeless(SlotActions &actions, TimePoint now)
+void SlotScheduler::Impl::refuseUnmeetable(SlotActions &actions, TimePoint now)
 {
     if (m_state.queuedTickets == 0 || m_state.options.faults.ignoreDeadlines) {
         return;
@@ -481,8 +481,8 @@
 // It is late already; from now on it makes way for those that need not be.
 void SlotScheduler::Impl::demoteLate(ClassQueue &queue, Lane lane, std::uint64_t id, TimePoint now)
 {
-    const WaitingTicket late = m_state.unplace(queue, lane, id);
-    m_state.place(queue, lane, late.ticket, late.ticket.deadline, now);
+    const WaitingTicket late = m_state.removeTicket(queue, lane, id);
+    m_state.addTicket(queue, lane, late.ticket, late.ticket.deadline, now);
 }
 
 void SlotScheduler::Impl::refusePredicted(ClassQueue &queue, SlotActions &actions, TimePoint now)
@@ -519,7 +519,7 @@
 
 void SlotScheduler::Impl::refuse(ClassQueue &queue, std::uint64_t id, Lane lane, Error error, SlotActions &actions)
 {
-    m_state.unplace(queue, lane, id);
+    m_state.removeTicket(queue, lane, id);
     actions.refused.push_back({id, std::move(error)});
 }
 
@@ -597,9 +597,9 @@
     return m_impl->m_state.isPaused;
 }
 
-std::vector<TicketRefusal> SlotScheduler::drainAll(const Error &error)
+std::vector<TicketRefusal> SlotScheduler::refuseAll(const Error &error)
 {
-    return m_impl->drainAll(error);
+    return m_impl->refuseAll(error);
 }
 
 TimePoint SlotScheduler::nextEventAt() const
@@ -609,9 +609,9 @@
 
 milliseconds SlotScheduler::expectedWait(std::string_view className, TimePoint now) const
 {
-    const ClassQueue unheardOf(ClassSpec{}, Seconds(m_impl->m_state.options.initialServiceTime).count());
+    const ClassQueue unknownClass(ClassSpec{}, Seconds(m_impl->m_state.options.initialServiceTime).count());
     const ClassQueue *found = m_impl->m_state.findClass(className);
-    const ClassQueue &queue = found == nullptr ? unheardOf : *found;
+    const ClassQueue &queue = found == nullptr ? unknownClass : *found;
     const double seconds = m_impl->m_state.expectedWaitSeconds(queue, Lane::Read, now + queue.spec().timeout, now);
     return std::chrono::ceil<milliseconds>(Seconds(seconds));
 }
--- a/src/core/slots/slotstate.cpp
+++ b/src/core/slots/slotstate.cpp
@@ -18,12 +18,12 @@
 constexpr std::size_t maximumClasses = 256;
 constexpr const char *overflowClass = "";
 // While a slot is lent for long, its owner counts as about for this long.
-constexpr milliseconds ownerPresence{2000};
+constexpr milliseconds ownerActiveWindow{2000};
 // Statements that take less than this part of others' time are the shorter ones; closer
 // estimates may only differ by chance.
-constexpr double clearlyShorter = 1.25;
+constexpr double shorterFactor = 1.25;
 // The least part of the slots that a class is taken to get in the long run.
-constexpr double leastPart = 0.05;
+constexpr double minimumFraction = 0.05;
 
 } // namespace
 
@@ -96,20 +96,20 @@
     return spec != nullptr && spec->share < 1;
 }
 
-void SlotState::place(ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint due, TimePoint now)
+void SlotState::addTicket(ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint due, TimePoint now)
 {
     queue.lane(lane).insert({ticket, {due, nextSequence++}, now});
-    places.emplace(ticket.id, std::make_pair(queue.spec().name, lane));
+    ticketLocations.emplace(ticket.id, std::make_pair(queue.spec().name, lane));
     ++queuedTickets;
     if (isShareLimited(ticket.tenant)) {
         ++limitedQueued[ticket.tenant];
     }
 }
 
-WaitingTicket SlotState::unplace(ClassQueue &queue, Lane lane, std::uint64_t id)
+WaitingTicket SlotState::removeTicket(ClassQueue &queue, Lane lane, std::uint64_t id)
 {
     WaitingTicket taken = *queue.lane(lane).take(id);
-    places.erase(id);
+    ticketLocations.erase(id);
     --queuedTickets;
     const auto limited = limitedQueued.find(taken.tenant());
     if (limited != limitedQueued.end() && --limited->second <= 0) {
@@ -170,8 +170,8 @@
     }
     int held = 0;
     for (const auto &[name, owner] : classes) {
-        const bool about = owner.lastSeen != TimePoint::min() && now < owner.lastSeen + ownerPresence;
-        if (&owner == &queue || owner.spec().reservedShare <= 0 || (lend && !about)) {
+        const bool isActive = owner.lastSeen != TimePoint::min() && now < owner.lastSeen + ownerActiveWindow;
+        if (&owner == &queue || owner.spec().reservedShare <= 0 || (lend && !isActive)) {
             continue;
         }
         const double share = owner.spec().reservedShare * concurrency.current();
@@ -181,7 +181,7 @@
     return std::min(held, concurrency.current() - 1);
 }
 
-bool SlotState::standsBack(const std::string &tenant, TimePoint now) const
+bool SlotState::isOverShare(const std::string &tenant, TimePoint now) const
 {
     if (!isShareLimited(tenant)) {
         return false;
@@ -216,7 +216,7 @@
     for (const auto &[name, queue] : classes) {
         reserved += queue.spec().reservedShare;
     }
-    return concurrency.current() * std::max(leastPart, 1 - reserved);
+    return concurrency.current() * std::max(minimumFraction, 1 - reserved);
 }
 
 double SlotState::slotsFor(const ClassQueue &queue, TimePoint now) const
@@ -235,10 +235,10 @@
         }
     }
     slots = std::min(slots, limit - heldBackFrom(queue, now));
-    return std::max({slots, queue.spec().reservedShare * limit, leastPart * limit});
+    return std::max({slots, queue.spec().reservedShare * limit, minimumFraction * limit});
 }
 
-double SlotState::offeredBeside(const ClassQueue &queue, TimePoint now) const
+double SlotState::offeredAtPriorityOf(const ClassQueue &queue, TimePoint now) const
 {
     double offered = 0;
     for (const auto &[name, other] : classes) {
@@ -259,7 +259,7 @@
     if (left.spec().priority != right.spec().priority) {
         return left.spec().priority > right.spec().priority;
     }
-    return options.shortFirst && isOverloaded(left) && serviceSeconds(left) * clearlyShorter < serviceSeconds(right);
+    return options.shortFirst && isOverloaded(left) && serviceSeconds(left) * shorterFactor < serviceSeconds(right);
 }
 
 std::size_t SlotState::countAhead(const TicketLane &tickets, TimePoint due, TimePoint now) const
@@ -268,7 +268,7 @@
     // other tenants away because of one that floods the queue.
     std::size_t passedOver = 0;
     for (const auto &[tenant, count] : limitedQueued) {
-        if (standsBack(tenant, now)) {
+        if (isOverShare(tenant, now)) {
             passedOver += tickets.countOf(tenant);
         }
     }
@@ -322,10 +322,10 @@
 
 double SlotState::tenantWaitSeconds(const ClassQueue &queue, Lane lane, const std::string &tenant, TimePoint now) const
 {
-    if (!standsBack(tenant, now)) {
+    if (!isOverShare(tenant, now)) {
         return 0;
     }
-    const double slots = std::max(leastPart, tenantSpec(tenant)->share) * unreservedSlots();
+    const double slots = std::max(minimumFraction, tenantSpec(tenant)->share) * unreservedSlots();
     return static_cast<double>(queue.lane(lane).countOf(tenant)) * serviceSeconds(queue) / slots;
 }
 
--- a/src/core/slots/slotstate.h
+++ b/src/core/slots/slotstate.h
@@ -55,20 +55,20 @@
     const ClassQueue *findClass(std::string_view name) const;
     bool isShareLimited(const std::string &tenant) const;
 
-    void place(ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint due, TimePoint now);
-    WaitingTicket unplace(ClassQueue &queue, Lane lane, std::uint64_t id);
+    void addTicket(ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint due, TimePoint now);
+    WaitingTicket removeTicket(ClassQueue &queue, Lane lane, std::uint64_t id);
 
     // Whether tickets of this lane may go now, as far as slots allow.
     bool isLaneOpen(const ClassQueue &queue, Lane lane) const;
     // Free slots that this class may not take, because they are kept for others.
     int heldBackFrom(const ClassQueue &queue, TimePoint now) const;
     // Whether a tenant used more than its share lately.
-    bool standsBack(const std::string &tenant, TimePoint now) const;
+    bool isOverShare(const std::string &tenant, TimePoint now) const;
     // Whether the slots have been silent so long that they may wait for a lock.
     bool isStalled(TimePoint now) const;
 
     // Slots that the arrivals of all classes of this one's priority ask for.
-    double offeredBeside(const ClassQueue &queue, TimePoint now) const;
+    double offeredAtPriorityOf(const ClassQueue &queue, TimePoint now) const;
     // True while some class of this one's priority asks for more than it can get.
     bool isOverloaded(const ClassQueue &queue) const;
     // Whether all tickets of `left` go before those of `right`, whenever they are due.
@@ -102,7 +102,7 @@
     // Tenants whose share is limited, and those that were until their last statement.
     absl::flat_hash_map<std::string, TenantState> tenants;
     // Where each waiting ticket is.
-    absl::flat_hash_map<std::uint64_t, std::pair<std::string, Lane>> places;
+    absl::flat_hash_map<std::uint64_t, std::pair<std::string, Lane>> ticketLocations;
     // Waiting tickets of each tenant whose share is limited.
     absl::flat_hash_map<std::string, int> limitedQueued;
     std::uint64_t nextSequence = 0;
--- a/src/core/slots/ticketlane.cpp
+++ b/src/core/slots/ticketlane.cpp
@@ -54,10 +54,10 @@
     return byDue.empty() ? nullptr : &*byDue.begin();
 }
 
-const WaitingTicket *TicketLane::firstFair(const TenantPredicate &standsBack) const
+const WaitingTicket *TicketLane::firstWithinShare(const TenantPredicate &isOverShare) const
 {
     for (const TenantHead &head : m_heads) {
-        if (!standsBack(head.tenant)) {
+        if (!isOverShare(head.tenant)) {
             return &*m_tickets.get<ById>().find(head.id);
         }
     }
--- a/src/core/slots/ticketlane.h
+++ b/src/core/slots/ticketlane.h
@@ -75,7 +75,7 @@
     const WaitingTicket *first() const;
     // The first ticket of a tenant that need not stand back; of all tickets when
     // every tenant has to. Costs one step for each tenant that stands back.
-    const WaitingTicket *firstFair(const TenantPredicate &standsBack) const;
+    const WaitingTicket *firstWithinShare(const TenantPredicate &isOverShare) const;
     // All tickets in order of service.
     std::vector<const WaitingTicket *> inOrder() const;
 
--- a/src/core/upstreams/connectionbudget.cpp
+++ b/src/core/upstreams/connectionbudget.cpp
@@ -64,12 +64,12 @@
     m_settlesAt = now + m_options.takeoverBound;
 }
 
-void ConnectionBudget::fall(TimePoint now)
+void ConnectionBudget::unsettle(TimePoint now)
 {
     if (now >= m_settlesAt) {
         // It fell when its confirmations ended, if that was earlier.
-        const TimePoint fellAt = isConfirmed(now) ? now : m_confirmedUntil;
-        m_shedToTakeoverBy = std::max(m_shedToTakeoverBy, fellAt + m_options.shedBound);
+        const TimePoint unsettledAt = isConfirmed(now) ? now : m_confirmedUntil;
+        m_shedToTakeoverBy = std::max(m_shedToTakeoverBy, unsettledAt + m_options.shedBound);
     }
     m_settlesAt = now + m_options.takeoverBound;
 }
@@ -80,7 +80,7 @@
         return;
     }
     m_resignedSettled = state(now) == HomeState::Settled;
-    fall(now);
+    unsettle(now);
     m_isHome = false;
     m_shedAllBy = now + m_options.shedBound;
 }
@@ -107,7 +107,7 @@
     }
     if (askedAt >= m_confirmedUntil) {
         // While nobody confirmed this home, another one may have settled.
-        fall(askedAt);
+        unsettle(askedAt);
         if (askedAt <= m_handedBackUntil) {
             m_settlesAt = askedAt;
         }
@@ -121,7 +121,7 @@
     if (!m_isHome || m_options.faults.keepShareUnconfirmed) {
         return;
     }
-    fall(now);
+    unsettle(now);
     m_confirmedUntil = std::min(m_confirmedUntil, now);
     m_handedBackUntil = TimePoint::min();
 }
@@ -138,7 +138,7 @@
     m_refusedAllowance = std::min({allowance(now), lower, takeoverConnections()});
     m_refusedUntil = now + m_options.refusalBackoff;
     if (m_isHome) {
-        fall(now);
+        unsettle(now);
     }
 }
 
--- a/src/core/upstreams/connectionplan.cpp
+++ b/src/core/upstreams/connectionplan.cpp
@@ -51,11 +51,11 @@
     rate.perSecond = decayed(rate, now) + 1 / Seconds(m_options.rateSpan).count();
     rate.at = now;
     if (m_rates.size() > m_options.maximumOwners) {
-        forgetRare(now);
+        forgetRareOwners(now);
     }
 }
 
-void ConnectionPlan::forgetRare(TimePoint now)
+void ConnectionPlan::forgetRareOwners(TimePoint now)
 {
     std::vector<double> rates;
     rates.reserve(m_rates.size());
@@ -79,13 +79,13 @@
 {
     const std::size_t size = connections.size();
     const auto closeOne = [&]() -> std::optional<PoolStep> {
-        const auto index = victim(connections, waiting, now);
+        const auto index = evictionCandidate(connections, waiting, now);
         return index ? std::optional(PoolStep{PoolStep::Kind::Close, {}, *index}) : std::nullopt;
     };
     if (size > limits.allowance) {
         return closeOne();
     }
-    if (const auto owner = ownerInNeed(connections, waiting)) {
+    if (const auto owner = unservedOwner(connections, waiting)) {
         if (size < limits.allowance) {
             return PoolStep{PoolStep::Kind::Open, std::string(*owner)};
         }
@@ -103,8 +103,8 @@
 }
 
 // The first that waits and for which nothing is opened or spare.
-std::optional<std::string_view> ConnectionPlan::ownerInNeed(const std::vector<PooledConnection> &connections,
-                                                            const std::vector<std::string_view> &waiting) const
+std::optional<std::string_view> ConnectionPlan::unservedOwner(const std::vector<PooledConnection> &connections,
+                                                              const std::vector<std::string_view> &waiting) const
 {
     for (const std::string_view owner : waiting) {
         if (countOf(waiting, owner) > countUntaken(connections, owner)) {
@@ -115,8 +115,8 @@
 }
 
 // A spare connection of an owner that does not wait, else any spare one.
-std::optional<std::size_t> ConnectionPlan::victim(const std::vector<PooledConnection> &connections,
-                                                  const std::vector<std::string_view> &waiting, TimePoint now) const
+std::optional<std::size_t> ConnectionPlan::evictionCandidate(const std::vector<PooledConnection> &connections,
+                                                             const std::vector<std::string_view> &waiting, TimePoint now) const
 {
     std::optional<std::size_t> best;
     double bestValue = std::numeric_limits<double>::max();
@@ -145,7 +145,7 @@
         return std::string();
     }
     std::optional<std::string> best;
-    double bestRate = m_options.opensAheadAbove;
+    double bestRate = m_options.minimumOpenAheadRate;
     for (const auto &[owner, rate] : m_rates) {
         const double current = decayed(rate, now);
         if (current > bestRate && std::ranges::find(connections, owner, &PooledConnection::owner) == connections.end()) {
--- a/src/core/upstreams/requestledger.cpp
+++ b/src/core/upstreams/requestledger.cpp
@@ -12,12 +12,12 @@
 namespace
 {
 
-Error invalid(std::string message)
+Error invalidInput(std::string message)
 {
     return {ErrorKind::InvalidInput, std::move(message), milliseconds{0}};
 }
 
-Error unknownOutcome(const RequestFacts &facts, std::string_view cause)
+Error unknownOutcomeError(const RequestFacts &facts, std::string_view cause)
 {
     Error error;
     error.kind = ErrorKind::UnknownOutcome;
@@ -27,7 +27,7 @@
     return error;
 }
 
-Error notSent(milliseconds retryAfter)
+Error notSentError(milliseconds retryAfter)
 {
     Error error;
     error.kind = ErrorKind::Moved;
@@ -54,7 +54,7 @@
 {
     const bool isNew = m_entries.try_emplace(facts.id, Entry{facts, RequestState::Queued, 0, 0, false}).second;
     if (!isNew) {
-        return tl::unexpected(invalid("The request is open already; give each request an id of its own."));
+        return tl::unexpected(invalidInput("The request is open already; give each request an id of its own."));
     }
     m_deadlines.emplace(std::make_pair(facts.deadline, facts.id), true);
     return {};
@@ -64,7 +64,7 @@
 {
     const auto found = m_entries.find(id);
     if (found == m_entries.end() || found->second.state != RequestState::Queued) {
-        return tl::unexpected(invalid("Only a queued request can be sent; this one has left or is closed."));
+        return tl::unexpected(invalidInput("Only a queued request can be sent; this one has left or is closed."));
     }
     Entry &entry = found->second;
     entry.state = RequestState::Sent;
@@ -186,7 +186,7 @@
     // as if nothing ran. One would notice a caller asking again after "not run" and
     // an idempotent effect applied twice.
     if (entry.mayHaveRun && outcomeOf(error.kind) == Outcome::NotRun) {
-        Error unknown = unknownOutcome(entry.facts, error.message);
+        Error unknown = unknownOutcomeError(entry.facts, error.message);
         unknown.retryAfter = error.retryAfter;
         return unknown;
     }
@@ -208,7 +208,7 @@
     if (found == m_entries.end() || found->second.state != RequestState::Answered) {
         return drop();
     }
-    Error error = unknownOutcome(found->second.facts, "no majority confirmed the commit in time");
+    Error error = unknownOutcomeError(found->second.facts, "no majority confirmed the commit in time");
     return close(found->second, LedgerAction::Kind::Fail, std::move(error));
 }
 
@@ -221,16 +221,16 @@
     }
     const auto attempts = found->second;
     for (const auto &[attempt, id] : attempts) {
-        Error error = unknownOutcome(m_entries.find(id)->second.facts, "the connection broke");
+        Error error = unknownOutcomeError(m_entries.find(id)->second.facts, "the connection broke");
         error.retryAfter = retryAfter;
         actions.push_back(lost(attempt, error, now));
     }
     return actions;
 }
 
-LedgerAction RequestLedger::neverLeft(AttemptId attempt, milliseconds retryAfter, TimePoint now)
+LedgerAction RequestLedger::notSent(AttemptId attempt, milliseconds retryAfter, TimePoint now)
 {
-    return notRun(attempt, notSent(retryAfter), true, now);
+    return notRun(attempt, notSentError(retryAfter), true, now);
 }
 
 LedgerAction RequestLedger::refuse(std::uint64_t id, const Error &error)
@@ -254,17 +254,17 @@
     }
     // The answer may still come. Handing this connection to another request would
     // give that one this answer, so the connection has to go.
-    std::optional<HopId> condemned;
+    std::optional<HopId> hopToClose;
     if (entry.state == RequestState::Sent) {
         detach(entry);
         if (!m_faults.keepConnection) {
-            condemned = entry.hop;
+            hopToClose = entry.hop;
         }
     }
-    Error error = unknownOutcome(entry.facts, reason.message);
+    Error error = unknownOutcomeError(entry.facts, reason.message);
     error.retryAfter = reason.retryAfter;
     LedgerAction action = close(entry, LedgerAction::Kind::Fail, std::move(error));
-    action.condemned = condemned;
+    action.hopToClose = hopToClose;
     return action;
 }
 
--- a/src/core/upstreams/retrybudget.cpp
+++ b/src/core/upstreams/retrybudget.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-constexpr std::int64_t wholeRetry = 1000;
+constexpr std::int64_t unitsPerRetry = 1000;
 }
 
 RetryBudget::RetryBudget(const RetryBudgetOptions &options) : m_options(options)
@@ -19,7 +19,7 @@
 void RetryBudget::onRequest(std::string_view database)
 {
     std::int64_t &saved = m_saved[std::string(database)];
-    saved = std::min(saved + m_options.retriesPerThousand, m_options.maximumSaved * wholeRetry);
+    saved = std::min(saved + m_options.retriesPerThousand, m_options.maximumSaved * unitsPerRetry);
 }
 
 bool RetryBudget::mayRetry(std::string_view database)
@@ -28,17 +28,17 @@
         return true;
     }
     const auto found = m_saved.find(std::string(database));
-    if (found == m_saved.end() || found->second < wholeRetry) {
+    if (found == m_saved.end() || found->second < unitsPerRetry) {
         return false;
     }
-    found->second -= wholeRetry;
+    found->second -= unitsPerRetry;
     return true;
 }
 
 std::int64_t RetryBudget::available(std::string_view database) const
 {
     const auto found = m_saved.find(std::string(database));
-    return found == m_saved.end() ? 0 : found->second / wholeRetry;
+    return found == m_saved.end() ? 0 : found->second / unitsPerRetry;
 }
 
 } // namespace egrettide
--- a/src/core/upstreams/router.cpp
+++ b/src/core/upstreams/router.cpp
@@ -17,7 +17,7 @@
 
 constexpr milliseconds noPrimaryRetryAfter{200};
 // Waits closer than this count as equal: hints are older than the difference.
-constexpr microseconds sameWait{1000};
+constexpr microseconds equalWaitMargin{1000};
 
 std::string keyOf(std::string_view name)
 {
@@ -161,18 +161,18 @@
         return tl::unexpected(Error{ErrorKind::UnknownDatabase,
                                     "There is no database service " + request.database + "; check the name.", milliseconds{0}});
     }
-    const Case about{*found, request, attempts, now};
+    const ChoiceContext context{*found, request, attempts, now};
     std::optional<Route> route;
     if (readsOnly(request.kind) && !request.needsPrimary) {
         PrimaryReason reason = PrimaryReason::NoReplica;
-        route = replicaRoute(about, attempts, random, reason);
-        route = route ? route : primaryRoute(about, attempts, reason);
-        route = route ? route : lastResort(about, attempts);
+        route = replicaRoute(context, attempts, random, reason);
+        route = route ? route : primaryRoute(context, attempts, reason);
+        route = route ? route : untriedReplicaRoute(context, attempts);
     } else {
         const bool begins = request.kind == StatementKind::Begin;
         const bool reads = readsOnly(request.kind);
         const PrimaryReason reason = begins ? PrimaryReason::Transaction : PrimaryReason::NotRead;
-        route = primaryRoute(about, attempts, reads ? PrimaryReason::Latest : reason);
+        route = primaryRoute(context, attempts, reads ? PrimaryReason::Latest : reason);
     }
     if (!route) {
         return tl::unexpected(noPrimary(request.database));
@@ -190,51 +190,52 @@
 
 // A replica that probably serves the read in time. Otherwise `reason` says why
 // there is none.
-std::optional<Route> Router::replicaRoute(const Case &about, RouteAttempts &attempts, std::mt19937_64 &random,
+std::optional<Route> Router::replicaRoute(const ChoiceContext &context, RouteAttempts &attempts, std::mt19937_64 &random,
                                           PrimaryReason &reason) const
 {
     std::vector<Candidate> fit;
-    std::optional<PrimaryReason> why = about.attempts.m_refusal;
-    for (const std::string &name : about.group.order) {
-        if (name == about.group.primary) {
+    std::optional<PrimaryReason> why = context.attempts.m_refusal;
+    for (const std::string &name : context.group.order) {
+        if (name == context.group.primary) {
             continue;
         }
-        if (about.attempts.tried(name, about.group.term)) {
+        if (context.attempts.tried(name, context.group.term)) {
             continue;
         }
-        const Member &member = about.group.members.at(name);
-        if (const auto obstacle = unfit(about, member)) {
+        const Member &member = context.group.members.at(name);
+        if (const auto obstacle = exclusionReason(context, member)) {
             // Health says least: a replica that is merely behind could have served.
             why = why && *why != PrimaryReason::Health ? why : obstacle;
             continue;
         }
-        fit.push_back(candidate(about, name, member));
+        fit.push_back(candidate(context, name, member));
     }
     reason = why.value_or(PrimaryReason::NoReplica);
     if (fit.empty()) {
         return std::nullopt;
     }
-    return route(about.group, attempts, pick(fit, random).upstream, std::nullopt);
+    return route(context.group, attempts, pick(fit, random).upstream, std::nullopt);
 }
 
-std::optional<Route> Router::primaryRoute(const Case &about, RouteAttempts &attempts, std::optional<PrimaryReason> reason) const
+std::optional<Route> Router::primaryRoute(const ChoiceContext &context, RouteAttempts &attempts,
+                                          std::optional<PrimaryReason> reason) const
 {
-    const Group &group = about.group;
-    if (!group.primary.empty() && !about.attempts.tried(group.primary, group.term)) {
+    const Group &group = context.group;
+    if (!group.primary.empty() && !context.attempts.tried(group.primary, group.term)) {
         return route(group, attempts, group.primary, reason);
     }
-    const bool mayBeReplica = readsOnly(about.request.kind) && !about.request.needsPrimary;
-    if (!about.attempts.m_askOthers || mayBeReplica) {
+    const bool mayBeReplica = readsOnly(context.request.kind) && !context.request.needsPrimary;
+    if (!context.attempts.m_askOthers || mayBeReplica) {
         return std::nullopt;
     }
     // Any home of the group may know the primary; its refusal names it.
-    const std::size_t round = about.attempts.roundsBegunAgain();
-    if (round > 0 && !about.attempts.m_tries.empty()) {
+    const std::size_t round = context.attempts.roundsBegunAgain();
+    if (round > 0 && !context.attempts.m_tries.empty()) {
         return std::nullopt;
     }
     for (std::size_t i = 0; i < group.order.size(); ++i) {
         const std::string &name = group.order[(round + i) % group.order.size()];
-        if (!about.attempts.tried(name, group.term)) {
+        if (!context.attempts.tried(name, group.term)) {
             return route(group, attempts, name, reason);
         }
     }
@@ -243,24 +244,24 @@
 
 // A read that neither a fit replica nor the primary takes: whoever is left may
 // still serve it, since predictions are only guesses.
-std::optional<Route> Router::lastResort(const Case &about, RouteAttempts &attempts) const
+std::optional<Route> Router::untriedReplicaRoute(const ChoiceContext &context, RouteAttempts &attempts) const
 {
-    for (const std::string &name : about.group.order) {
-        const Member &member = about.group.members.at(name);
-        const bool usable = isHealthy(member, TimePoint::max()) && !isBehind(about.request, member, about.now);
-        if (usable && name != about.group.primary && !about.attempts.tried(name, about.group.term)) {
-            return route(about.group, attempts, name, std::nullopt);
+    for (const std::string &name : context.group.order) {
+        const Member &member = context.group.members.at(name);
+        const bool usable = isHealthy(member, TimePoint::max()) && !isBackedOff(context.request, member, context.now);
+        if (usable && name != context.group.primary && !context.attempts.tried(name, context.group.term)) {
+            return route(context.group, attempts, name, std::nullopt);
         }
     }
     return std::nullopt;
 }
 
-Router::Candidate Router::candidate(const Case &about, const std::string &upstream, const Member &member) const
+Router::Candidate Router::candidate(const ChoiceContext &context, const std::string &upstream, const Member &member) const
 {
     Candidate result;
     result.upstream = upstream;
     result.local = member.zone == m_options.zone;
-    result.wait = member.hint.expectedWait + floorWait(about, member);
+    result.wait = member.hint.expectedWait + floorWait(context, member);
     if (!result.local) {
         result.wait += m_options.crossZoneCost;
     }
@@ -283,7 +284,7 @@
     std::vector<const Candidate *> two;
     std::sample(pool.begin(), pool.end(), std::back_inserter(two), 2, random);
     std::shuffle(two.begin(), two.end(), random);
-    if (two.size() == 2 && two[1]->wait + sameWait < two[0]->wait) {
+    if (two.size() == 2 && two[1]->wait + equalWaitMargin < two[0]->wait) {
         return *two[1];
     }
     return *two[0];
@@ -292,7 +293,7 @@
 // The budget bounds retries that add load where there is too much of it or where
 // answers get lost. Refusals that only say "not here" are bounded by the number of
 // upstreams, and cutting them off would fail requests after every change of primary.
-bool Router::spendsBudget(ErrorKind kind)
+bool Router::consumesRetryBudget(ErrorKind kind)
 {
     return kind == ErrorKind::Overloaded || kind == ErrorKind::ConnectionLimit || kind == ErrorKind::UnknownOutcome;
 }
@@ -372,7 +373,7 @@
     }
     RouteAttempts next = attempts;
     const auto chosen = choose(request, next, now, random);
-    if (!chosen || (spendsBudget(kind) && m_spendRetry && !m_spendRetry(now))) {
+    if (!chosen || (consumesRetryBudget(kind) && m_spendRetry && !m_spendRetry(now))) {
         return finish(request, reply, attempts);
     }
     attempts = std::move(next);
--- a/src/core/upstreams/routermembers.cpp
+++ b/src/core/upstreams/routermembers.cpp
@@ -48,11 +48,11 @@
 
 void Router::learnMember(Member &member, const MemberHint &hint, bool fromOwnHome, TimePoint now) const
 {
-    const bool trusted = !fromOwnHome && member.ownHintAt && now - *member.ownHintAt < m_options.ownHomeTrust;
-    const bool reachable = hint.reachable || (trusted && member.hint.reachable);
+    const bool ownHintIsCurrent = !fromOwnHome && member.ownHintAt && now - *member.ownHintAt < m_options.ownHintPrecedence;
+    const bool reachable = hint.reachable || (ownHintIsCurrent && member.hint.reachable);
     // A member's own home hears of its positions with every answer, others now and then.
-    const bool isOlder = trusted && hint.replayed <= member.hint.replayed;
-    if (isOlder) {
+    const bool isOlderThanOwnHint = ownHintIsCurrent && hint.replayed <= member.hint.replayed;
+    if (isOlderThanOwnHint) {
         member.hint.leaving = hint.leaving;
         return;
     }
@@ -90,85 +90,85 @@
     }
     if (!reply.error) {
         member->second.avoidUntil = TimePoint();
-        member->second.forAges = Behind();
+        member->second.ageBackoff = NotFreshBackoff();
         if (request.freshness.floor) {
-            member->second.forFloors = Behind();
+            member->second.floorBackoff = NotFreshBackoff();
         }
         return;
     }
     if (reply.error->kind == ErrorKind::NotFresh && upstream != found.primary) {
-        noteBehind(request.freshness.floor ? member->second.forFloors : member->second.forAges, now);
+        extendBackoff(request.freshness.floor ? member->second.floorBackoff : member->second.ageBackoff, now);
         return;
     }
     const ErrorKind kind = reply.error->kind;
-    const bool unwell = kind == ErrorKind::Moved || kind == ErrorKind::Leaving || kind == ErrorKind::ConnectionLimit
+    const bool isUnavailable = kind == ErrorKind::Moved || kind == ErrorKind::Leaving || kind == ErrorKind::ConnectionLimit
         || kind == ErrorKind::UnknownOutcome;
-    if (unwell && readsOnly(request.kind)) {
+    if (isUnavailable && readsOnly(request.kind)) {
         member->second.avoidUntil = now + m_options.avoidFor;
     }
 }
 
-void Router::noteBehind(Behind &behind, TimePoint now) const
+void Router::extendBackoff(NotFreshBackoff &backoff, TimePoint now) const
 {
     // Reads that were under way together count once.
-    if (now < behind.until) {
+    if (now < backoff.until) {
         return;
     }
-    behind.span = std::clamp(behind.span * 2, m_options.behindFor, m_options.behindForLongest);
-    behind.until = now + behind.span;
+    backoff.duration = std::clamp(backoff.duration * 2, m_options.behindFor, m_options.behindForLongest);
+    backoff.until = now + backoff.duration;
 }
 
-bool Router::isBehind(const StatementRequest &request, const Member &member, TimePoint now)
+bool Router::isBackedOff(const StatementRequest &request, const Member &member, TimePoint now)
 {
-    const bool forItsFloor = request.freshness.floor && now < member.forFloors.until;
-    const bool forItsAge = request.freshness.maxAge && now < member.forAges.until;
-    return forItsFloor || forItsAge;
+    const bool byFloor = request.freshness.floor && now < member.floorBackoff.until;
+    const bool byAge = request.freshness.maxAge && now < member.ageBackoff.until;
+    return byFloor || byAge;
 }
 
-std::optional<PrimaryReason> Router::unfit(const Case &about, const Member &member) const
+std::optional<PrimaryReason> Router::exclusionReason(const ChoiceContext &context, const Member &member) const
 {
-    if (!isHealthy(member, about.now)) {
+    if (!isHealthy(member, context.now)) {
         return PrimaryReason::Health;
     }
     if (m_options.policy == RoutingPolicy::Baseline) {
-        return unfitForBaseline(about, member);
+        return baselineExclusionReason(context, member);
     }
-    const Freshness &freshness = about.request.freshness;
-    if (isBehind(about.request, member, about.now)) {
+    const Freshness &freshness = context.request.freshness;
+    if (isBackedOff(context.request, member, context.now)) {
         return freshness.floor ? PrimaryReason::Floor : PrimaryReason::Age;
     }
-    const bool isNews = about.now < member.learnedAt + m_options.hintTrust;
-    if (isNews && floorWait(about, member) > about.group.replicaWait) {
+    const bool isNews = context.now < member.learnedAt + m_options.hintValidity;
+    if (isNews && floorWait(context, member) > context.group.replicaWait) {
         return PrimaryReason::Floor;
     }
     // The hint's age is the replica's usual lag; it is renewed until the read arrives.
-    if (isNews && member.known && freshness.maxAge && member.hint.age > *freshness.maxAge + about.group.replicaWait) {
+    if (isNews && member.known && freshness.maxAge && member.hint.age > *freshness.maxAge + context.group.replicaWait) {
         return PrimaryReason::Age;
     }
-    if (about.now + member.hint.expectedWait > about.request.deadline) {
+    if (context.now + member.hint.expectedWait > context.request.deadline) {
         return PrimaryReason::Capacity;
     }
     return std::nullopt;
 }
 
-std::optional<PrimaryReason> Router::unfitForBaseline(const Case &about, const Member &member) const
+std::optional<PrimaryReason> Router::baselineExclusionReason(const ChoiceContext &context, const Member &member) const
 {
-    const Freshness &freshness = about.request.freshness;
+    const Freshness &freshness = context.request.freshness;
     if (freshness.latest) {
         return PrimaryReason::Latest;
     }
     if (freshness.floor && (!member.known || member.hint.replayed < *freshness.floor)) {
         return PrimaryReason::Floor;
     }
-    if (freshness.maxAge && (!member.known || member.hint.age + (about.now - member.learnedAt) > *freshness.maxAge)) {
+    if (freshness.maxAge && (!member.known || member.hint.age + (context.now - member.learnedAt) > *freshness.maxAge)) {
         return PrimaryReason::Age;
     }
     return std::nullopt;
 }
 
-microseconds Router::floorWait(const Case &about, const Member &member)
+microseconds Router::floorWait(const ChoiceContext &context, const Member &member)
 {
-    const auto &floor = about.request.freshness.floor;
+    const auto &floor = context.request.freshness.floor;
     if (!floor || !member.known || member.hint.replayed >= *floor) {
         return microseconds{0};
     }
@@ -178,7 +178,7 @@
     }
     using Seconds = std::chrono::duration<double>;
     const Seconds needed(static_cast<double>(floor->position - replayed) / member.replayRate);
-    const Seconds left = std::min(needed, Seconds(std::chrono::hours(1))) - Seconds(about.now - member.learnedAt);
+    const Seconds left = std::min(needed, Seconds(std::chrono::hours(1))) - Seconds(context.now - member.learnedAt);
     return std::max(microseconds{0}, std::chrono::duration_cast<microseconds>(left));
 }
 
--- a/tests/core/requestledger_test.cpp
+++ b/tests/core/requestledger_test.cpp
@@ -260,7 +260,7 @@
         if (state && action.kind != Kind::Fail) {
             fail("a request that was given up has no final answer");
         }
-        if (!action.condemned) {
+        if (!action.hopToClose) {
             // By the ledger's word nothing is outstanding for it.
             for (auto &[hopId, hop] : m_hops) {
                 hop.isOutstanding = hop.isOutstanding && hop.request != id;
@@ -303,8 +303,8 @@
 
     void take(const LedgerAction &action, std::uint64_t id)
     {
-        if (action.condemned) {
-            closeHop(*action.condemned);
+        if (action.hopToClose) {
+            closeHop(*action.hopToClose);
         }
         if (action.kind != Kind::Deliver && action.kind != Kind::Fail) {
             return;
@@ -445,10 +445,10 @@
     RequestLedger ledger;
     (void)ledger.open(facts(1));
     const auto attempt = ledger.send(1, 7);
-    const LedgerAction again = ledger.neverLeft(*attempt, 20ms, start);
+    const LedgerAction again = ledger.notSent(*attempt, 20ms, start);
     BOOST_TEST((again.kind == Kind::Retry), "nothing of it was written, so even a charge may go another way");
     const auto second = ledger.send(1, 8);
-    const LedgerAction action = ledger.neverLeft(*second, 20ms, start + 2s);
+    const LedgerAction action = ledger.notSent(*second, 20ms, start + 2s);
     BOOST_TEST((action.kind == Kind::Fail));
     BOOST_TEST((outcomeOf(action.error->kind) == Outcome::NotRun));
     BOOST_TEST((action.error->retryAfter == 20ms));
@@ -494,13 +494,13 @@
     const LedgerAction action = ledger.giveUp(1, late);
     BOOST_TEST((action.kind == Kind::Fail));
     BOOST_TEST((action.error->kind == ErrorKind::UnknownOutcome));
-    BOOST_TEST((action.condemned == std::optional<HopId>(7)));
+    BOOST_TEST((action.hopToClose == std::optional<HopId>(7)));
     BOOST_TEST((ledger.answered(*attempt, false).kind == Kind::Drop));
 
     (void)ledger.open(facts(2));
     const LedgerAction unsent = ledger.giveUp(2, late);
     BOOST_TEST((unsent.state == RequestState::Refused));
-    BOOST_TEST(!unsent.condemned.has_value());
+    BOOST_TEST(!unsent.hopToClose.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(IllegalTransitionsAreRefused)
--- a/tests/core/slotscheduler_test.cpp
+++ b/tests/core/slotscheduler_test.cpp
@@ -269,7 +269,7 @@
 
     void drain()
     {
-        for (const TicketRefusal &refusal : m_scheduler.drainAll({ErrorKind::Moved, "Moved; ask again.", 1ms})) {
+        for (const TicketRefusal &refusal : m_scheduler.refuseAll({ErrorKind::Moved, "Moved; ask again.", 1ms})) {
             refused(refusal);
         }
         if (m_scheduler.queued() != 0) {
@@ -804,7 +804,7 @@
 {
     SlotScheduler scheduler(desksAndParents(1));
     fillSlots(scheduler, 3);
-    const auto refusals = scheduler.drainAll({ErrorKind::Moved, "The primary changed; ask again.", 5ms});
+    const auto refusals = scheduler.refuseAll({ErrorKind::Moved, "The primary changed; ask again.", 5ms});
     BOOST_TEST(refusals.size() == 2);
     BOOST_TEST(scheduler.queued() == 0);
     BOOST_TEST(scheduler.inUse() == 1);
