--- a/include/egrettide/core/connectionplan.h
+++ b/include/egrettide/core/connectionplan.h
@@ -1,10 +1,10 @@
-// Decides which connection of an upstream to open or to close next, where each of them
-// belongs to one owner: the workspace in whose name it was opened.
+// Decides which connection of an upstream's pool to open or to close next, where each
+// connection belongs to one owner: the workspace that it was opened for.
 //
-// What goes wrong without it: an upstream takes a few dozen connections and serves more
-// workspaces than that. Connections of workspaces that rarely ask fill it up, and those that
-// ask all the time wait for an opening, which takes as long as a short statement, with every
-// second request.
+// An upstream accepts a few dozen connections and can serve more workspaces than that.
+// Without a plan, connections of rarely used workspaces fill the pool, and every second
+// request of a busy workspace waits for a new connection, which takes as long as a short
+// statement.
 
 #pragma once
 
@@ -21,30 +21,30 @@
 namespace egrettide
 {
 
-// Which spare connection makes way for one of another owner.
+// Which spare connection is closed to make room for one of another owner.
 enum class EvictionPolicy {
-    // The one that was used longest ago.
+    // The least recently used one.
     LeastRecent,
-    // One of the owner that asks least often.
+    // One of the owner with the lowest request rate.
     LowestRate,
 };
 
 struct ConnectionPlanOptions {
-    // False where all requests share the connections: owners then make no difference.
+    // False if all requests share the connections; owners are then ignored.
     bool perOwner = false;
     EvictionPolicy eviction = EvictionPolicy::LowestRate;
-    // Over how long the rate of an owner's requests is smoothed.
+    // The time constant of the smoothed request rate of an owner.
     milliseconds rateSpan{10000};
-    // An owner that asks less often than this has nothing opened ahead of its requests: a
-    // connection that waits for long only keeps others out.
+    // Requests a second. For owners below this rate no connection is opened ahead of a
+    // request: it would be idle most of the time and take the place of another owner's.
     double minimumOpenAheadRate = 0.25;
-    // Owners whose rate is known; the least frequent are forgotten beyond it.
+    // Owners whose rate is kept; beyond that, those with the lowest rates are removed.
     std::size_t maximumOwners = 1024;
 };
 
 enum class PooledState { Opening, Spare, Taken };
 
-// One connection of the pool, in the order of their last use, longest ago first.
+// One connection of the pool. Lists of these are ordered by last use, least recent first.
 struct PooledConnection {
     std::string_view owner;
     PooledState state = PooledState::Spare;
@@ -54,34 +54,34 @@
     // Connections that may be open, and that should be kept open.
     std::size_t allowance = 0;
     std::size_t target = 0;
-    // Slots of the upstream that nobody uses; an opening takes one.
+    // Unused slots of the upstream; opening a connection takes one.
     std::size_t freeSlots = 0;
 };
 
 struct PoolStep {
     enum class Kind { Open, Close };
     Kind kind = Kind::Open;
-    // Open: in whose name.
+    // Open: the owner of the new connection.
     std::string owner{};
-    // Close: the place in the list of connections.
+    // Close: the index in the list of connections.
     std::size_t index = 0;
 };
 
-// Used from one thread.
+// Not thread-safe.
 class ConnectionPlan
 {
 public:
     explicit ConnectionPlan(ConnectionPlanOptions options);
 
-    // Notes a request of an owner.
+    // Records a request of an owner.
     void asked(std::string_view owner, TimePoint now);
-    // Requests of the owner a second, smoothed.
+    // The smoothed request rate of an owner, in requests a second.
     double rateOf(std::string_view owner, TimePoint now) const;
 
-    // What to do next, or nothing. `waiting` names the owner of each request that has a slot
-    // and no connection. To be asked again, with what the step has changed, until it has
-    // nothing more; each step opens or closes one connection, and an opening is never undone
-    // by the next step.
+    // The next step, or nullopt if there is nothing to do. `waiting` holds the owner of each
+    // request that has a slot but no connection. Call this repeatedly, with the effect of
+    // each step applied, until it returns nullopt. Each step opens or closes one connection;
+    // a connection that one step opens is never closed by the next.
     std::optional<PoolStep> next(const std::vector<PooledConnection> &connections, const std::vector<std::string_view> &waiting,
                                  const PoolLimits &limits, TimePoint now) const;
 
--- a/include/egrettide/core/requestledger.h
+++ b/include/egrettide/core/requestledger.h
@@ -1,10 +1,10 @@
-// The life cycle of every request, at a front and at a home: who has it, whether
-// it left, and which single answer its caller gets.
+// The state machine of requests: whether a request was sent, over which hop, and which
+// single final answer its caller gets. A hop is a peer link or an upstream connection.
 //
-// What goes wrong without it: a link breaks, a charge that had already left is
-// sent again, and a parent is billed twice; or a late answer of an abandoned
-// attempt is handed to the next request. The ledger allows legal transitions only,
-// gives exactly one final answer for each request, and drops every other reply.
+// The ledger prevents two faults: a non-idempotent request that had already been sent is
+// sent again after its link broke and runs twice, and a late answer of an abandoned
+// attempt is returned for the next request. It allows legal transitions only, gives
+// exactly one final answer for each request, and drops every other reply.
 
 #pragma once
 
@@ -23,67 +23,68 @@
 {
 
 enum class RequestState {
-    // Known, not sent (again) yet.
+    // Open, and not sent, or not sent again yet.
     Queued,
-    // Left over a hop; its answer is outstanding.
+    // Sent over a hop; its answer is outstanding.
     Sent,
-    // The answer is here and waits for a majority's confirmation.
+    // Answered; the answer is held until a majority confirms the commit.
     Answered,
-    // Final: answered by the upstream (and confirmed where that was asked for).
+    // Final: answered by the upstream, and confirmed where this is required.
     Confirmed,
-    // Final: refused, and nothing of it ran.
+    // Final: refused; no part of it ran.
     Refused,
-    // Final: it may have run.
+    // Final: the outcome is unknown; it may have run.
     Unknown,
 };
 
-// Names one peer link or upstream connection; never reused.
+// Identifies one peer link or upstream connection; never reused.
 using HopId = std::uint64_t;
-// Names one sending of one request; never reused, so that an answer to an earlier
-// attempt is told from an answer to the current one.
+// Identifies one sending of one request; never reused, so that an answer to an earlier
+// attempt can be distinguished from an answer to the current one.
 using AttemptId = std::uint64_t;
 
-// What decides whether a request may run twice.
+// The properties that determine whether a request may run twice.
 struct RequestFacts {
     std::uint64_t id = 0;
     StatementKind kind = StatementKind::Write;
-    // The caller declared that running it twice is harmless.
+    // The caller declared the request idempotent.
     bool idempotent = false;
-    // It belongs to an open transaction, which dies with its connection.
+    // It belongs to an open transaction, which ends with its connection.
     bool inTransaction = false;
     TimePoint deadline;
 };
 
-// What the owner of the ledger does with one request after an event.
+// What the owner of the ledger must do with a request after an event.
 struct LedgerAction {
     enum class Kind {
-        // Give the caller the upstream's answer.
+        // Return the upstream's answer to the caller.
         Deliver,
         // Keep the answer until the commit is confirmed.
         Hold,
-        // Send it again elsewhere if the retry budget allows; else refuse() it.
+        // Send the request elsewhere if the retry budget allows it, else refuse() it.
         Retry,
-        // Give the caller `error`; the request is closed.
+        // Return `error` to the caller; the request is closed.
         Fail,
-        // Do nothing: late, duplicated or unknown.
+        // Ignore the event: it is late, duplicated or for an unknown request.
         Drop,
     };
     Kind kind = Kind::Drop;
     std::uint64_t id = 0;
-    // What the request has become; a final state for Deliver and Fail.
+    // The new state of the request; final for Deliver and Fail.
     RequestState state = RequestState::Queued;
     // Set for Fail.
     std::optional<Error> error;
-    // An answer is still outstanding there: nobody else may use that connection,
-    // and it has to be closed.
+    // A hop on which an answer is still outstanding: it must be closed and not be used
+    // for another request.
     std::optional<HopId> hopToClose;
 };
 
-// Switches that take one mechanism out, so that its proof can be shown to fail.
+// Each switch disables one mechanism, so that a test can show that its check fails
+// without it. Never set in production.
 struct LedgerFaults {
-    // Resend whatever broke.
+    // Retry every request whose hop broke.
     bool resendSent = false;
-    // Take any reply for the current one.
+    // Accept answers to earlier attempts.
     bool acceptAnyAttempt = false;
     // Keep the connection of a request that was given up.
     bool keepConnection = false;
@@ -96,59 +97,64 @@
     RequestLedger(const RequestLedger &) = delete;
     RequestLedger &operator=(const RequestLedger &) = delete;
 
-    // Takes a new request in. InvalidInput when the id is already open.
+    // Adds a new request in state Queued. InvalidInput if the id is already open.
     tl::expected<void, Error> open(const RequestFacts &facts);
 
-    // Notes that the request leaves over a hop, before its first byte is written.
-    // InvalidInput unless it is Queued.
+    // Marks a request as sent over a hop; call it before the first byte is written.
+    // InvalidInput unless the request is Queued.
     tl::expected<AttemptId, Error> send(std::uint64_t id, HopId hop);
 
-    // A whole answer came in for an attempt. Deliver, Hold (when it still needs a
-    // confirmation) or Drop.
+    // The complete answer to an attempt was received. Returns Deliver, Hold (if it needs
+    // a confirmation) or Drop.
     LedgerAction answered(AttemptId attempt, bool needsConfirmation);
-    // The other side says that nothing of the attempt ran: the error is of a NotRun
-    // kind. Retry when time is left and `mayRetryElsewhere`, else Fail with it.
+    // The other side reports that no part of the attempt ran; the outcome of `error` is
+    // NotRun. Returns Retry if `mayRetryElsewhere`, the request is outside of a transaction
+    // and its deadline has not passed, else Fail with the error.
     LedgerAction notRun(AttemptId attempt, const Error &error, bool mayRetryElsewhere, TimePoint now);
-    // The hop broke, or was never there, before a byte of the attempt was written.
+    // The hop broke or was missing before the first byte of the attempt was written.
+    // Like notRun() with `mayRetryElsewhere`.
     LedgerAction notSent(AttemptId attempt, milliseconds retryAfter, TimePoint now);
-    // The other side says that it does not know: Retry for what may run twice, else Fail.
+    // The outcome of the attempt is unknown. Returns Retry if the request may run twice
+    // and its deadline has not passed, else Fail.
     LedgerAction lost(AttemptId attempt, const Error &error, TimePoint now);
 
-    // A held answer is proven, or can't be proven any more.
+    // The commit behind a held answer is confirmed, or can no longer be confirmed.
     LedgerAction confirmed(std::uint64_t id);
     LedgerAction unconfirmed(std::uint64_t id);
 
-    // A hop broke: one action for each request that had left over it, in the order
-    // of sending. `retryAfter` goes into the errors.
+    // A hop broke. Returns one action for each request that was sent over it and has no
+    // answer, in the order of sending. `retryAfter` is set in the errors.
     std::vector<LedgerAction> hopBroken(HopId hop, milliseconds retryAfter, TimePoint now);
 
-    // Ends a Queued request with a NotRun error, or one that may not be retried.
+    // Ends a Queued request with an error. If an earlier attempt may have run, a NotRun
+    // error becomes UnknownOutcome.
     LedgerAction refuse(std::uint64_t id, const Error &error);
 
-    // Gives a request up, on a deadline, a cancel or a caller that left. The final
-    // answer is due now: NotRun with `reason` when it never left, else unknown
-    // outcome. The connection with its outstanding answer is condemned.
+    // Ends a request after its deadline, a cancel or the disconnection of its caller.
+    // Returns Fail: with `reason` if the request was never sent, else with an unknown
+    // outcome. LedgerAction::hopToClose is set if an answer is still outstanding.
     LedgerAction giveUp(std::uint64_t id, const Error &reason);
 
     // Requests whose deadline has passed, in order of deadline.
     std::vector<std::uint64_t> overdue(TimePoint now) const;
-    // The earliest deadline; TimePoint::max() when nothing is open.
+    // The earliest deadline; TimePoint::max() if no request is open.
     TimePoint nextDeadline() const;
 
-    // Empty when the request is not open (any more).
+    // nullopt if the request is not open.
     std::optional<RequestState> state(std::uint64_t id) const;
+    // The number of open requests.
     std::size_t size() const;
-    // Replies that were dropped so far.
+    // The number of dropped events.
     std::uint64_t dropped() const;
 
 private:
     struct Entry {
         RequestFacts facts;
         RequestState state = RequestState::Queued;
-        // Both valid in Sent only.
+        // Both valid in state Sent only.
         AttemptId attempt = 0;
         HopId hop = 0;
-        // True once any attempt left whose outcome was not proven to be "not run".
+        // True once the outcome of any attempt was unknown.
         bool mayHaveRun = false;
     };
 
@@ -164,10 +170,10 @@
     LedgerFaults m_faults;
     AttemptId m_nextAttempt = 1;
     std::uint64_t m_dropped = 0;
-    // Open requests only; a final answer removes the entry.
+    // Open requests; a final answer removes the entry.
     absl::flat_hash_map<std::uint64_t, Entry> m_entries;
-    // Current attempts only; an attempt leaves this map when its answer is taken,
-    // its hop breaks or its request is given up.
+    // Current attempts; an attempt is removed when it is answered, its hop breaks or its
+    // request is given up.
     absl::flat_hash_map<AttemptId, std::uint64_t> m_attempts;
     // Attempts by hop, in order of sending.
     absl::flat_hash_map<HopId, absl::btree_map<AttemptId, std::uint64_t>> m_hops;
--- a/include/egrettide/core/retrybudget.h
+++ b/include/egrettide/core/retrybudget.h
@@ -1,9 +1,9 @@
-// Bounds how many requests egrettide itself sends a second time.
+// Limits how many requests egrettide itself sends a second time.
 //
-// What goes wrong without it: an upstream slows down, every request is retried,
-// the retries are load as well, and the upstream never recovers. One notices
-// sends per request rising with the error rate. Here each first attempt pays in a
-// fixed part of a retry, so sends never exceed 1.09 times the requests.
+// Without a limit, an upstream that slows down gets a retry for every request, the retries
+// add to its load, and it does not recover: sends per request rise with the error rate.
+// Each first attempt earns a fixed fraction of a retry, so sends never exceed 1.09 times
+// the requests.
 
 #pragma once
 
@@ -19,14 +19,14 @@
 struct RetryBudgetOptions {
     // Retries earned by a thousand requests; 90 keeps amplification below 1.1.
     std::int64_t retriesPerThousand = 90;
-    // The most retries saved up while all goes well.
+    // Upper bound of unused retries.
     std::int64_t maximumSaved = 100;
-    // Switch for the proof: grant every retry.
+    // Grants every retry. Only for the test which shows that its check then fails.
     bool grantAll = false;
 };
 
-// One per traffic thread; accounts by database. Starts empty, so the bound holds
-// from the first request on.
+// One instance per traffic thread, with a separate budget for each database. Starts with
+// no retries, so the bound holds from the first request on.
 class RetryBudget
 {
 public:
@@ -34,10 +34,10 @@
 
     // Counts a first attempt.
     void onRequest(std::string_view database);
-    // Takes one retry out of the budget; false when there is none, and the request
-    // must then get its final answer.
+    // Consumes one retry of the budget. Returns false if there is none; the request must
+    // then get its final answer.
     bool mayRetry(std::string_view database);
-    // Retries that could be granted now.
+    // Whole retries in the budget.
     std::int64_t available(std::string_view database) const;
 
 private:
--- a/include/egrettide/core/router.h
+++ b/include/egrettide/core/router.h
@@ -1,6 +1,7 @@
-// Chooses, at a front, the upstream for each request from the newest hints that
-// homes sent, and the next one after a refusal. It guesses; homes decide. It
-// counts where reads went and why.
+// Chooses the upstream for each request at a front, the part of a host that serves
+// callers, and the next upstream after a refusal. Its choices rest on hints, the state of
+// a group's members that homes attach to their replies; the homes decide by the actual
+// state whether they accept a request. It also counts where reads went and why.
 
 #pragma once
 
@@ -27,17 +28,18 @@
 
 // Why a request went to the primary.
 enum class PrimaryReason {
-    // Not proven to read.
+    // The statement is not known to be read-only.
     NotRead,
-    // BEGIN without READ ONLY, or inside such a transaction.
+    // BEGIN without READ ONLY, or a read inside such a transaction.
     Transaction,
-    // No replica had replayed the floor, or was predicted to in time.
+    // No replica had reached the floor, the log position that the session's reads must
+    // see, or was predicted to reach it in time.
     Floor,
-    // No replica could show a state within the accepted age.
+    // No replica had a state within the accepted age.
     Age,
-    // No replica could show a state confirmed since the receipt.
+    // No replica had a state confirmed since the request was received.
     Latest,
-    // The replicas had no slot in time.
+    // No replica had a free slot in time.
     Capacity,
     // The replicas do not answer, are leaving, or follow another term.
     Health,
@@ -50,11 +52,11 @@
 std::ostream &operator<<(std::ostream &out, PrimaryReason reason);
 
 enum class RoutingPolicy {
-    // Replicas serve whatever they can prove, waiting briefly if that pays.
+    // Reads go to replicas that meet their freshness requirement now or, as predicted,
+    // after a short wait.
     Replicas,
-    // The naive policy to measure against: reads that ask for `latest` (unknown
-    // sessions among them), and reads whose floor or age no hint already proves,
-    // go to the primary at once.
+    // The baseline for comparisons: reads that require `latest`, such as those of unknown
+    // sessions, and reads whose floor or age no hint already satisfies go to the primary.
     Baseline,
 };
 
@@ -62,36 +64,37 @@
     // The availability zone of this host.
     std::string zone;
     RoutingPolicy policy = RoutingPolicy::Replicas;
-    // The cost of another zone, added to its upstreams' expected waits.
+    // Added to the expected wait of upstreams in other zones.
     std::chrono::microseconds crossZoneCost{2000};
-    // An upstream of the own zone with a longer wait competes with other zones.
+    // Upstreams of the own zone are preferred up to this expected wait; beyond it, they
+    // compete with those of other zones.
     milliseconds localWaitLimit{2};
-    // A replica whose home refused or lost a read is left out for this long.
+    // A replica gets no reads for this long after its home refused or lost one.
     milliseconds avoidFor{200};
-    // What an upstream's own home says of its health outweighs other homes' for
-    // this long: a cut-off home calls everybody else unreachable.
+    // A hint of an upstream's own home takes precedence over hints of other homes for this
+    // long: a home that is cut off reports all other upstreams as unreachable.
     milliseconds ownHintPrecedence{1000};
-    // A replica that turned a read away for its position is left out of such reads for
-    // this long, twice as long each time it does so again, up to the second; its next
-    // answer ends it.
+    // Exponential backoff for a replica that refused a read as not fresh: it gets no such
+    // reads for the first of these durations; each further refusal doubles it, up to the
+    // second. An answer to such a read ends the backoff.
     //
-    // What goes wrong without: both replicas are seconds behind and the primary is full.
-    // Every read asks all three in vain, and is told that no state is fresh enough instead
-    // of when to come back: 1,200 such refusals in 16 s at 150 reads a second.
+    // Without it, while all replicas are seconds behind and the primary is overloaded,
+    // every read tries all three, and its caller gets NotFresh instead of Overloaded with
+    // a time to retry: 1,200 such refusals in 16 s at 150 reads a second.
     milliseconds behindFor{20};
     milliseconds behindForLongest{640};
-    // What another home says of a replica, or its own said long ago, may be old news: from
-    // this age on it is not held against the replica.
+    // A hint older than this no longer excludes a replica for its floor or age, since the
+    // replica may have caught up.
     milliseconds hintValidity{500};
-    // The most upstreams that one request is sent to.
+    // The maximum number of upstreams that one request is sent to.
     int maxAttempts = 6;
 };
 
-// Reads by where they went. Each read counts once, for its first answer that was
-// not a refusal or for its last refusal.
+// Requests by the upstream that served them. Each read counts once, by its first answer
+// that is no refusal, or else by its last refusal.
 struct RoutingCounters {
     std::uint64_t readsByReplica = 0;
-    // By PrimaryReason.
+    // Indexed by PrimaryReason.
     std::array<std::uint64_t, primaryReasonCount> readsByPrimary{};
     std::uint64_t writes = 0;
     std::uint64_t retries = 0;
@@ -109,67 +112,65 @@
     std::optional<PrimaryReason> reason;
 };
 
-// The last reply goes to the caller: nothing is left to try, or trying again
-// could run the request twice.
-//
-// What goes wrong without `instead`: an idempotent request is lost on its way to
-// one upstream and refused by the next one. Its caller would read "not run" from
-// the refusal although the first upstream may have run it.
+// The last reply goes to the caller: no upstream is left to try, or another attempt could
+// run the request twice.
 struct Finish {
-    // The error to give in place of the reply's own.
+    // The error to return in place of the reply's own. Set if an idempotent request was
+    // lost at one upstream and refused by the next: the refusal alone would report "not
+    // run" although the first upstream may have run it.
     std::optional<Error> instead;
 };
 
 using RouteDecision = std::variant<Route, Finish>;
 
-// What one request has tried so far; the front keeps it beside the request and
-// hands it back.
+// The attempts of one request so far. The front keeps this with the request and passes it
+// to each call of the router.
 class RouteAttempts
 {
 public:
     struct Try {
         std::string upstream;
-        // The group's term as known when it was tried: after a change of primary an
-        // upstream may be tried once more.
+        // The term of the group that was known at the time of the attempt; in a higher
+        // term, that is after a change of primary, an upstream may be tried again.
         Term term = 0;
         bool primary = false;
-        // Set once it was refused or lost.
+        // Set after a refusal or an unknown outcome.
         std::optional<ErrorKind> refusal;
     };
 
-    // The upstream that holds the request now; empty before the first.
+    // The upstream of the latest attempt; empty before the first.
     std::string_view current() const;
     bool tried(std::string_view upstream, Term term) const;
-    // Forgets what was tried, for a request that waits for a primary and then goes
-    // round again. Keeps whether an attempt ended without a known outcome: a plain
-    // new object would let a later refusal claim that nothing ran.
+    // Begins a new round of attempts, for a request that has waited for a primary. Keeps
+    // whether an attempt ended with an unknown outcome; otherwise a later refusal could
+    // report that the request did not run.
     //
-    // The new round asks one home only for a primary that is still unknown, another one in
-    // each round: all of them were asked in the first, and each asking is a hop and a turn
-    // of its home's processor.
+    // While the primary is unknown, the first round asks all homes and each further round
+    // only one, a different one each time, since each attempt costs a hop and processor
+    // time of the home.
     void startOver();
-    // Rounds begun after the first.
+    // The number of rounds after the first.
     std::size_t roundsBegunAgain() const;
-    // Each upstream tried since the request last started over and what became of it,
-    // such as "m1:not_fresh m2:overloaded"; for logs.
+    // The upstreams tried in the current round with their refusals, such as
+    // "m1:not_fresh m2:overloaded"; for logs.
     std::string history() const;
 
 private:
     friend class Router;
 
     std::vector<Try> m_tries;
-    // Why the last upstream refused it.
+    // Why the last upstream refused the request.
     std::optional<PrimaryReason> m_refusal;
     // The reason of the current route.
     std::optional<PrimaryReason> m_routeReason;
-    // True while other members' homes may be asked for the primary.
+    // True while homes of other members may be asked for the primary.
     bool m_askOthers = true;
-    // True once an attempt ended without a known outcome; never false again.
+    // True once an attempt ended with an unknown outcome; never reset.
     bool m_outcomeUnknown = false;
     std::size_t m_roundsBegunAgain = 0;
 };
 
-// Takes one retry from the budget; false when it is used up.
+// Consumes one retry of the budget; returns false if there is none.
 using SpendRetryHook = std::function<bool(TimePoint now)>;
 
 using PrimaryLearnedHook = std::function<void(const std::string &database)>;
@@ -177,74 +178,73 @@
 class Router
 {
 public:
-    // Without a hook every retry is allowed. `learned` is called, from within learn(), when a
-    // database's primary has become known or another one.
+    // Without `spendRetry` every retry is allowed. learn() calls `learned` when the primary of
+    // a database becomes known or changes.
     explicit Router(RouterOptions options, SpendRetryHook spendRetry = {}, PrimaryLearnedHook learned = {});
     Router(const Router &) = delete;
     Router &operator=(const Router &) = delete;
 
-    // Takes zones, upstreams and leaving flags; forgets what left.
+    // Applies zones, upstreams and leaving flags; removes upstreams that are not configured.
     void configure(const Configuration &configuration);
 
-    // Takes a hint that came with an answer of the home of `upstream`; only that
-    // home knows the upstream's queue, so `expectedWait` of others is not taken.
-    // A hint of a lower term is dropped: it would send writes to a replaced primary.
+    // Applies a hint from a reply of the home of `upstream`. Only that home knows the queue
+    // of the upstream, so `expectedWait` is ignored for other members. Hints of a lower term
+    // are dropped, since they would route writes to a replaced primary.
     void learn(const GroupHint &hint, std::string_view upstream, TimePoint now);
 
-    // The first upstream for a request. Inside a transaction the front does not
-    // ask: the request stays where the transaction is. NoPrimary or UnknownDatabase
-    // when there is nobody to send to.
+    // The upstream for the first attempt. Not for requests inside a transaction, which stay
+    // at the upstream of the transaction. NoPrimary or UnknownDatabase if there is no
+    // upstream to send to.
     tl::expected<Route, Error> choose(const StatementRequest &request, RouteAttempts &attempts, TimePoint now,
                                       std::mt19937_64 &random);
 
-    // What to do with a reply: learns its hint, and after a refusal names the next
-    // upstream if the request may run again. A request that left for an upstream is
-    // never sent again unless it is proven to read or idempotent, and a request of
-    // an open transaction never.
+    // Applies the hint of a reply and decides what follows: after a refusal, the next
+    // upstream if the request may be retried. A request that reached an upstream is retried
+    // only if it is read-only or idempotent; a request of an open transaction never is.
     RouteDecision afterReply(const StatementRequest &request, const StatementReply &reply, RouteAttempts &attempts, TimePoint now,
                              std::mt19937_64 &random);
 
-    // Counts a read inside a transaction, which the router did not route.
+    // Counts a read inside a transaction, for which choose() is not called.
     void countPinnedRead(std::string_view database, std::string_view upstream);
 
-    // The primary as last heard of; empty when unknown.
+    // The primary by the latest hint; empty if unknown.
     std::string primary(std::string_view database) const;
     Term term(std::string_view database) const;
     const RoutingCounters &counters() const;
 
 private:
-    // See RouterOptions::behindFor.
+    // The backoff of a replica after NotFresh refusals; see RouterOptions.
     struct NotFreshBackoff {
         TimePoint until;
-        // How long it was last left out; 0 since its last answer to such a read.
+        // The latest duration; 0 after an answer to such a read.
         milliseconds duration{0};
     };
     struct Member {
         std::string zone;
-        // As the configuration says.
+        // By the configuration.
         bool leaving = false;
         MemberHint hint;
         TimePoint learnedAt;
         bool known = false;
-        // When its own home last answered for it.
+        // When the last hint of its own home was applied.
         std::optional<TimePoint> ownHintAt;
-        // Reads leave it out before this moment.
+        // It gets no reads before this time.
         TimePoint avoidUntil;
-        // Reads of a session's own writes turned it away, or reads of any young state:
-        // a replica may be too far behind for the ones and not for the others.
+        // Separate backoffs for reads with a floor and for reads with a maximum age, since a
+        // replica may be too far behind for one kind and not for the other.
         NotFreshBackoff floorBackoff;
         NotFreshBackoff ageBackoff;
-        // Entries replayed a second, smoothed over hints; 0 when unknown.
+        // Log entries replayed a second, smoothed over hints; 0 if unknown.
         double replayRate = 0;
     };
     struct Group {
-        // Never falls.
+        // Invariant: never decreases.
         Term term = 0;
         std::string primary;
         milliseconds replicaWait{0};
         // By name of the upstream.
         absl::flat_hash_map<std::string, Member> members;
-        // Names in the order of the configuration, so that choices are reproducible.
+        // Names in configuration order, so that choices are reproducible.
         std::vector<std::string> order;
     };
     struct Candidate {
@@ -253,7 +253,7 @@
         bool local = false;
     };
 
-    // One choice's inputs.
+    // The inputs of one choice.
     struct ChoiceContext {
         const Group &group;
         const StatementRequest &request;
--- a/include/egrettide/core/slotscheduler.h
+++ b/include/egrettide/core/slotscheduler.h
@@ -1,11 +1,13 @@
-// Decides which statement of which class gets a slot of one upstream, and when.
-// One scheduler stands before each upstream, at its only home, so no agreement
-// with other hosts is needed. It holds no requests, only tickets for them.
+// Admission control and scheduling for the slots of one upstream. A slot is the right
+// to run one statement there; a class is a named group of callers with a priority and
+// a reserved share of the slots. The scheduler runs at the upstream's home, the one
+// host that holds its slots, so it needs no agreement with other hosts. It holds
+// tickets that stand for statements, not the statements themselves.
 //
-// What goes wrong without it: after a failover every caller asks again at once,
-// a first-come queue grows past every deadline, and the upstream spends its slots
-// on answers that nobody waits for any more. One notices goodput falling while
-// the slots stay full, and branch desks waiting behind parents.
+// Without it, all callers retry at once after a failover, a first-in first-out queue
+// grows beyond their deadlines, and the upstream spends its slots on answers that no
+// caller waits for any more: the slots stay full while goodput falls, and callers of
+// high priority wait behind the others.
 
 #pragma once
 
@@ -35,34 +37,35 @@
 
 // How a reservation that is not a whole number of slots is kept.
 enum class ReservationPolicy {
-    // Slots are lent to other classes; the reserved class goes first at the next
-    // free one. No slot ever idles.
+    // Other classes may use the reserved slots; the reserved class gets the next slot
+    // that becomes free. No slot is ever idle.
     TimeShare,
-    // The last slots stay empty for the reserved class, rounded up.
+    // As many slots as the reservation, rounded up, stay free for the reserved class.
     HoldBack,
-    // TimeShare while borrowers give slots back quickly. While they do not and the
-    // reserved class was seen lately, its whole slots, at least one, stay empty.
+    // Like TimeShare for classes with short statements. Classes with longer ones leave
+    // free the reserved slots, rounded down but at least one, of a class that was
+    // active recently. See SlotSchedulerOptions::lendingBound.
     Lend,
 };
 
-// Which ticket of one class goes first. A ticket counts as due at its objective while
-// that can be met, and at its deadline from then on.
+// The order of tickets within one class. A ticket is due at its objective while that can
+// be met, and at its deadline afterwards.
 //
-// What goes wrong with deadlines alone: more arrives for seconds than the slots can run,
-// every caller waits for about as long as it may, and although the slots are always busy
-// hardly anybody is answered in the time that they asked for. A few late ones behind
-// keep all others in time. Of a load of 1.3 times the slots for 3 s, then half of them for
-// 3 s, 0.70 were answered within the objective of 200 ms and 0.06 refused; with deadlines
-// alone 0.54 and 0.14 (mean of 20 plays in simulated time).
+// With deadlines alone, a load above capacity makes every caller wait for about its whole
+// timeout, so most answers miss their objective although the slots are always busy.
+// Moving late tickets to the back keeps the others in time. Measured with 1.3 times the
+// capacity for 3 s, then half of it for 3 s, and an objective of 200 ms: 0.70 answered
+// within the objective and 0.06 refused; with deadlines alone 0.54 and 0.14 (mean of 20
+// runs in simulated time).
 enum class QueueDiscipline {
     EarliestDeadline,
-    // Earliest deadline first; while a standing queue lasts, arrivals that would
-    // wait longer than the standing target are refused at once.
+    // Earliest deadline first. Under sustained overload, a ticket that would wait longer
+    // than SlotSchedulerOptions::standingTarget is refused on arrival.
     BoundedStanding,
 };
 
-// Switches that take one mechanism out, so that its proof can be shown to fail.
-// Never set in production.
+// Each switch disables one mechanism, so that a test can show that its check fails
+// without it. Never set in production.
 struct SchedulerFaults {
     bool ignoreReservations = false;
     bool ignoreDeadlines = false;
@@ -73,8 +76,7 @@
     bool ignoreTransactionLimit = false;
 };
 
-// What the scheduler is built with; a change of configuration goes through
-// SlotScheduler::configure.
+// SlotScheduler::configure applies changed options to a running scheduler.
 struct SlotSchedulerOptions {
     int slots = 1;
     std::vector<ClassSpec> classes;
@@ -82,53 +84,56 @@
     LimitPolicy limitPolicy = LimitPolicy::Gradient;
     ReservationPolicy reservationPolicy = ReservationPolicy::Lend;
     QueueDiscipline discipline = QueueDiscipline::BoundedStanding;
-    // Statements that may run above `slots`, and only to end a stall.
+    // Statements that may run in addition to `slots`, only to end a stall; see stallBound.
     int limitMargin = 1;
-    // Transactions that may be open at once over all classes: the data
-    // connections that the home may hold, less what runs statements.
+    // Transactions of all classes that may be open at once: the data connections that
+    // the home may hold, less those needed for the slots.
     int maximumTransactions = 1;
-    // Tickets that may wait; the bound on this scheduler's memory.
+    // Tickets that may be queued; bounds the memory of the scheduler.
     int maximumQueued = 4096;
-    // Assumed until the first answers have come in.
+    // The assumed service time until the first statement has finished.
     milliseconds initialServiceTime{10};
-    // The queueing delay that a standing queue is held to under overload.
+    // The longest queueing delay that BoundedStanding accepts under overload.
     milliseconds standingTarget{200};
-    // Under overload, statements of classes that take clearly less slot time go before
-    // others of their priority. By time alone, each long one makes several short ones
-    // late. Of a load of 1.6 times the slots for 12 s, 0.68 were answered within their
-    // objective, by time alone 0.63 (mean of 20 plays in simulated time); the long ones pay.
+    // Under overload, classes with clearly shorter statements go before others of the same
+    // priority. By due time alone, each long statement makes several short ones late.
+    // Measured with 1.6 times the capacity for 12 s: 0.68 answered within the objective,
+    // 0.63 by due time alone (mean of 20 runs in simulated time), at the expense of the
+    // long statements.
     bool shortFirst = true;
-    // Tickets are due at their objective while it can be met; see QueueDiscipline.
+    // Whether tickets are due at their objective while it can be met; see QueueDiscipline.
     bool objectives = true;
-    // How long waits must exceed the target, while more is asked for than there are
-    // slots, to count as overload.
+    // A class is overloaded once predicted waits have exceeded standingTarget, with
+    // more demand than capacity, for this long.
     milliseconds standingInterval{200};
-    // A slot lent for longer than this is not lent while its owner is about.
+    // With ReservationPolicy::Lend, a class whose statements take longer than this gets
+    // no reserved slot of a class that was active recently.
     milliseconds lendingBound{50};
-    // Without any answer for this long, a statement of an open transaction may go
-    // above the limit: all slots may be waiting for a lock that it holds.
+    // If no slot was taken or freed for this long, a statement of an open transaction
+    // may exceed the limit: the running statements may wait for a lock that its
+    // transaction holds.
     milliseconds stallBound{100};
-    // The latest moment that a refusal names for coming back.
+    // The upper bound of Error::retryAfter in refusals.
     milliseconds maximumRetryAfter{30000};
     SchedulerFaults faults;
 };
 
-// One statement that wants a slot.
+// A request for a slot, for one statement.
 struct StatementTicket {
-    // Unique at this scheduler until its outcome is known.
+    // Unique at this scheduler until the ticket is refused, withdrawn or finished.
     std::uint64_t id = 0;
     std::string className;
     std::string tenant;
     TimePoint deadline;
     StatementKind kind = StatementKind::Write;
-    // True when the statement belongs to an open transaction, which already holds
-    // its connection and perhaps locks.
+    // True if the statement belongs to an open transaction, which already holds a
+    // connection and perhaps locks.
     bool holdsTransaction = false;
-    // Until when the answer is worth most, if the caller said so.
+    // The response time objective, as a point in time, if the caller gave one.
     std::optional<TimePoint> objective{};
 };
 
-// A ticket that will not be admitted any more. Its statement was never sent.
+// A queued ticket that was refused. Its statement was never sent.
 struct TicketRefusal {
     std::uint64_t id = 0;
     Error error;
@@ -136,14 +141,15 @@
 
 enum class AdmissionState { Admitted, Queued, Refused };
 
-// What became of a ticket at once.
+// The immediate result of enqueue().
 struct Admission {
     AdmissionState state = AdmissionState::Queued;
-    // Set for Refused only; Error::retryAfter says when to come back.
+    // Set for Refused only; Error::retryAfter says when to retry.
     std::optional<Error> error;
 };
 
-// What the caller has to do now: send the admitted, answer the refused.
+// What the owner of the scheduler has to do: send the admitted statements and answer
+// the refused ones.
 struct SlotActions {
     std::vector<std::uint64_t> admitted;
     std::vector<TicketRefusal> refused;
@@ -158,54 +164,54 @@
     SlotScheduler(const SlotScheduler &) = delete;
     SlotScheduler &operator=(const SlotScheduler &) = delete;
 
-    // Takes over new slots, classes, tenants and transaction limit. Tickets in
-    // use and in the queue keep their place; returns what the change lets in.
+    // Applies new options. Admitted and queued tickets are kept; returns the tickets
+    // that the change admits or refuses.
     SlotActions configure(SlotSchedulerOptions options, TimePoint now);
 
-    // Asks for a slot. Refused at once when the deadline can't be met by what is
-    // known of backlog and service time. A refused ticket is forgotten.
+    // Requests a slot. Refused if the deadline can't be met according to the backlog and
+    // the estimated service time. A refused ticket is not kept.
     Admission enqueue(const StatementTicket &ticket, TimePoint now);
 
-    // Gives back the slot of an admitted ticket, whatever became of its
-    // statement. `serviceTime` runs from sending to the last byte of the answer;
-    // zero when nothing was sent, so that it teaches nothing. A ticket that is
-    // not in use is ignored.
+    // Releases the slot of an admitted ticket, whatever the outcome of its statement.
+    // `serviceTime` runs from sending to the last byte of the answer; zero if nothing was
+    // sent, which leaves the estimates unchanged. Ignores tickets that hold no slot.
     SlotActions finished(std::uint64_t id, TimePoint now, std::chrono::nanoseconds serviceTime);
 
-    // Ends one transaction of a class: one that a Begin ticket opened when it was
-    // admitted. Also to be called when that Begin failed or its connection broke.
+    // Notes the end of a transaction of a class. A transaction counts as open from the
+    // admission of its Begin ticket, so call this also if that Begin failed or its
+    // connection broke.
     SlotActions transactionEnded(std::string_view className, TimePoint now);
 
-    // Refuses tickets whose deadline can no longer be met, as soon as that is
-    // known, and admits what a stall or a passing overload allows. Call it at
-    // nextEventAt().
+    // Refuses tickets whose deadline can no longer be met, and admits those that have
+    // become admissible with time, such as during a stall. Call it at nextEventAt().
     SlotActions expire(TimePoint now);
 
-    // Takes a queued ticket back, on a cancel or when its caller is gone. Returns
-    // false when it is not queued (any more).
+    // Removes a queued ticket, after a cancel or when its caller has disconnected.
+    // Returns false if the ticket is not queued.
     bool withdraw(std::uint64_t id);
 
-    // Holds back writes and new transactions, for a planned change of primary.
-    // They queue within their deadlines; statements of open transactions go on.
+    // Holds back writes and new read-write transactions during a planned change of
+    // primary. They stay queued within their deadlines; statements of open transactions
+    // are still admitted.
     void pause();
     SlotActions resume(TimePoint now);
     bool isPaused() const;
 
-    // Refuses everything that is queued with this error, which must be a NotRun
-    // kind: nothing of it was sent. What is in use stays.
+    // Refuses all queued tickets with `error`, whose outcome must be NotRun since none of
+    // their statements was sent. Admitted tickets keep their slots.
     std::vector<TicketRefusal> refuseAll(const Error &error);
 
-    // When expire() has something to do; TimePoint::max() when nothing waits.
+    // When to call expire() next; TimePoint::max() if no ticket is queued.
     TimePoint nextEventAt() const;
 
-    // How long a statement of this class would wait for a slot now.
+    // The predicted wait for a slot of a read of this class that arrives now.
     milliseconds expectedWait(std::string_view className, TimePoint now) const;
 
     int inUse() const;
     int queued() const;
     int queued(std::string_view className) const;
     int openTransactions(std::string_view className) const;
-    // How many statements may be in use at once now, without the stall margin.
+    // How many slots may be in use at once now, without limitMargin.
     int limit() const;
     // The smoothed service time over all classes.
     std::chrono::nanoseconds serviceTime() const;
--- a/src/core/slots/classqueue.cpp
+++ b/src/core/slots/classqueue.cpp
@@ -10,10 +10,11 @@
 
 namespace
 {
-// How much reserved slot time may be saved up or overdrawn, in seconds of the
-// reservation. Longer lets bursts through whole; shorter forgives sooner.
+// How much reserved slot time may be saved or overdrawn, in seconds of the reservation.
+// A higher value admits longer bursts; a lower one recovers sooner from overuse.
 constexpr double creditSeconds = 0.25;
-// A reservation below one statement could never let one through.
+// The minimum credit bound, in statements: a bound below the cost of one statement would
+// never admit any.
 constexpr double creditStatements = 2.0;
 } // namespace
 
--- a/src/core/slots/classqueue.h
+++ b/src/core/slots/classqueue.h
@@ -1,5 +1,5 @@
-// One class of callers at one upstream: its waiting tickets, its reservation and
-// what is known about its statements.
+// One class of callers at one upstream: its queued tickets, its reservation and its
+// usage statistics.
 
 #pragma once
 
@@ -15,16 +15,17 @@
 namespace egrettide::detail
 {
 
-// What decides whether a ticket may go now, besides a free slot.
+// Groups tickets by what they need besides a free slot.
 enum class Lane {
-    // Statements of open transactions: always may.
+    // Statements of open transactions: nothing else.
     Continuation,
+    // Nothing else.
     Read,
-    // Not while writes are paused.
+    // Writes must not be paused.
     Write,
-    // Not while paused, and only when another transaction may be opened.
+    // Writes must not be paused, and another transaction may be opened.
     Begin,
-    // Only when another transaction may be opened.
+    // Another transaction may be opened.
     BeginReadOnly,
 };
 
@@ -58,48 +59,51 @@
     }
     std::size_t size() const;
 
-    // Lets the reservation earn slot time up to now. `slots` is the current limit.
+    // Credits the slot time that the reservation has earned up to now. `slots` is the
+    // current limit.
     void accrue(int slots, TimePoint now);
-    // True while the class may go before higher priorities: it used less than its
-    // reservation lately.
+    // True if the class recently used less than its reservation; it then goes before
+    // classes of higher priority.
     bool isInCredit() const
     {
         return m_spec.reservedShare > 0 && m_credit > 0;
     }
     void spend(double slotSeconds);
 
-    // Notes, on an arrival, whether it would wait longer than a standing queue may
-    // and whether arrivals ask for more slots than there are.
+    // Records an arrival: whether its predicted wait exceeds the standing target, and
+    // whether the demand of all arrivals exceeds the available slots.
     void noteArrival(bool waitsTooLong, bool exceedsCapacity, milliseconds interval, TimePoint now);
-    // True from when both held throughout the interval until neither does. Arrivals
-    // alone decide the end: a short queue is what refusals bring about.
+    // Becomes true once waits have been too long for the interval while the demand exceeds
+    // capacity, and false at an arrival for which neither holds. A short queue alone does
+    // not end the overload, since the refusals under overload keep the queue short.
     bool isOverloaded() const
     {
         return m_overloaded;
     }
 
-    // Statements in use now.
+    // Slots in use now.
     int inUse = 0;
-    // Transactions that its Begin tickets opened and that have not ended.
+    // Open transactions of this class.
     int openTransactions = 0;
-    // The last arrival of a ticket.
+    // The latest arrival of a ticket.
     TimePoint lastSeen = TimePoint::min();
-    // Slots used, and slots that all arrivals asked for, refused ones included.
+    // Slots used, and slots that all arrivals need, including refused ones.
     UsageMeter usage;
     UsageMeter offered;
     ServiceEstimate service;
-    // When the next refused caller is asked to come back, so that callers return
-    // one by one and not all together.
+    // The retry time of the latest refusal. Each further refusal gets a later one, so that
+    // callers don't retry all at once.
     TimePoint nextRetryAt = TimePoint::min();
 
 private:
     ClassSpec m_spec;
     std::array<TicketLane, laneCount> m_lanes;
-    // Slot time earned by the reservation. Invariant: within plus and minus creditBound().
+    // Slot time earned by the reservation, in seconds.
+    // Invariant: -m_creditBound <= m_credit <= m_creditBound.
     double m_credit = 0;
     double m_creditBound = 0;
     TimePoint m_accruedAt = TimePoint::min();
-    // Since when arrivals wait too long; max() while they don't.
+    // Since when arrivals wait too long; max() if they don't.
     TimePoint m_standingSince = TimePoint::max();
     bool m_overloaded = false;
 };
--- a/src/core/slots/concurrencylimit.cpp
+++ b/src/core/slots/concurrencylimit.cpp
@@ -1,4 +1,4 @@
-// The two ways of learning a limit.
+// The two adaptive limit algorithms.
 
 #include "core/slots/concurrencylimit.h"
 
@@ -10,9 +10,9 @@
 
 namespace
 {
-// Service times vary by themselves; only beyond this is the upstream called slow.
+// The slowdown from which the upstream counts as slow; smaller variations are normal.
 constexpr double tolerance = 1.3;
-// One slow answer among many must not halve the limit.
+// Applied at each slow answer: a single one must not halve the limit.
 constexpr double aimdDecrease = 0.98;
 constexpr double gradientSmoothing = 0.05;
 constexpr double lowestGradient = 0.5;
@@ -33,7 +33,7 @@
 
 void ConcurrencyLimit::sample(double slowdown, int inUse)
 {
-    // An unused limit says nothing about whether a higher one would do.
+    // A limit that is not even half used gives no information about the right one.
     if (m_policy == LimitPolicy::Fixed || inUse * 2 < current()) {
         return;
     }
--- a/src/core/slots/concurrencylimit.h
+++ b/src/core/slots/concurrencylimit.h
@@ -1,9 +1,9 @@
-// How many statements may be in use at one upstream at once, learnt from how much
-// slower than usual they have become.
+// An adaptive concurrency limit: how many statements may run at one upstream at once,
+// derived from the ratio of recent to usual service times.
 //
-// What goes wrong without it: an upstream that runs fewer statements at once than
-// its settings say queues the surplus inside itself, where no class goes first
-// and no deadline counts. One notices service times rising for all classes alike.
+// Without it, an upstream that runs fewer statements at once than its configured slots
+// queues the surplus internally, where neither priorities nor deadlines apply: service
+// times then rise for all classes alike.
 
 #pragma once
 
@@ -17,14 +17,14 @@
 public:
     ConcurrencyLimit(LimitPolicy policy, int slots);
 
-    // Takes over new settings; the learnt limit is kept within them.
+    // Applies new settings and clamps the current limit to them.
     void configure(LimitPolicy policy, int slots);
 
-    // Learns from one answer. `slowdown` is the ratio of recent to usual service
-    // time; `inUse` counts the statement itself.
+    // Adjusts the limit after one answer. `slowdown` is the ratio of recent to usual
+    // service time; `inUse` includes the statement itself.
     void sample(double slowdown, int inUse);
 
-    // Between half the slots and all of them.
+    // Between a quarter of the slots, at least 1, and all of them.
     int current() const;
 
 private:
--- a/src/core/slots/slotmeters.h
+++ b/src/core/slots/slotmeters.h
@@ -1,5 +1,4 @@
-// Small running measures that the slot scheduler decides by: how many slots
-// somebody used lately, and how long statements take.
+// Moving averages for the slot scheduler: recent slot usage and service times.
 
 #pragma once
 
@@ -15,19 +14,19 @@
 
 using Seconds = std::chrono::duration<double>;
 
-// An exponentially decaying average of slots in use: slot time that was charged,
-// forgotten with a time constant of one second.
+// An exponentially decaying average of the slots in use, computed from charged slot time
+// with a time constant of one second.
 class UsageMeter
 {
 public:
-    // Charges slot time; a correction may be negative.
+    // Charges slot time; negative for a correction.
     void add(double slotSeconds, TimePoint now)
     {
         m_slotSeconds = std::max(0.0, decayed(now) + slotSeconds);
         m_at = std::max(m_at, now);
     }
 
-    // Slots in use on average over about the last second.
+    // The average number of slots in use over about the last second.
     double average(TimePoint now) const
     {
         return decayed(now) / timeConstant;
@@ -49,7 +48,8 @@
     TimePoint m_at = TimePoint::min();
 };
 
-// Mean service time over the last statements, and the same over many, slower.
+// Two moving averages of the service time: a fast one over recent statements and a slow
+// one as the baseline.
 class ServiceEstimate
 {
 public:
@@ -63,7 +63,7 @@
             m_recent = seconds;
             m_baseline = seconds;
         }
-        // Early samples weigh more, so that the first guess is forgotten soon.
+        // Early samples weigh more, so that the averages converge quickly.
         const double count = static_cast<double>(++m_samples);
         m_recent += (seconds - m_recent) * std::max(recentWeight, 1 / count);
         m_baseline += (seconds - m_baseline) * std::max(baselineWeight, 1 / count);
@@ -79,7 +79,7 @@
         return m_recent;
     }
 
-    // How much slower than usual statements are now; 1 means as usual.
+    // The ratio of recent to baseline service time.
     double slowdown() const
     {
         return m_baseline > 0 ? m_recent / m_baseline : 1.0;
--- a/src/core/slots/slotscheduler.cpp
+++ b/src/core/slots/slotscheduler.cpp
@@ -1,5 +1,5 @@
 // The decisions of the scheduler: admission, refusal, and the choice of the next
-// ticket. What they rest on is in SlotState.
+// ticket. The state and the predictions behind them are in SlotState.
 
 #include "egrettide/core/slotscheduler.h"
 
@@ -28,13 +28,13 @@
 namespace
 {
 
-// How often queued tickets are compared with the prediction again.
+// How often the predictions for queued tickets are checked again.
 constexpr milliseconds recheckInterval{50};
-// A queued ticket is given up by prediction only when it would be late by this
-// factor, because predictions err both ways.
+// A queued ticket is refused by prediction only if its predicted answer exceeds the
+// remaining time by this factor, since predictions err in both directions.
 constexpr double predictionSlack = 1.25;
-// Refused callers are asked back at this part of the drain rate, which leaves the
-// rest to callers that come for the first time.
+// Refused callers are spread over this fraction of the service rate, which leaves the
+// rest to new requests.
 constexpr double retryDrainFraction = 0.5;
 constexpr milliseconds shortestRetryAfter{1};
 
@@ -81,14 +81,14 @@
     void admit(const Pick &pick, TimePoint now, SlotActions &actions);
     void accrueAll(TimePoint now);
 
-    // Refusal of what already waits.
+    // Refusal of queued tickets.
     void refuseUnmeetable(SlotActions &actions, TimePoint now);
     void refuseExpired(ClassQueue &queue, Lane lane, SlotActions &actions, TimePoint now);
     void demoteLate(ClassQueue &queue, Lane lane, std::uint64_t id, TimePoint now);
     void refusePredicted(ClassQueue &queue, SlotActions &actions, TimePoint now);
     void refuse(ClassQueue &queue, std::uint64_t id, Lane lane, Error error, SlotActions &actions);
 
-    // When queued tickets are compared with the prediction again.
+    // When the predictions for queued tickets are checked next.
     TimePoint m_nextRecheck = TimePoint::min();
 };
 
@@ -113,7 +113,7 @@
 {
     if (isDuplicate(ticket)) {
         return {AdmissionState::Refused,
-                Error{ErrorKind::InvalidInput, "The ticket is here already; give each statement an id of its own."}};
+                Error{ErrorKind::InvalidInput, "A ticket with this id exists already; give each statement a unique id."}};
     }
     ClassQueue &queue = m_state.classOf(ticket.className);
     queue.lastSeen = now;
@@ -128,8 +128,8 @@
     }
     m_state.addTicket(queue, lane, ticket, due, now);
 
-    // Only this ticket may go here, as the caller learns of no other. Should another
-    // have become admissible by the mere passing of time, expire() is due at once.
+    // Only this ticket may be admitted here, since enqueue() reports no other. If another
+    // one has become admissible with time, expire() is due at once.
     accrueAll(now);
     const auto pick = pickNext(now);
     if (!pick) {
@@ -152,7 +152,7 @@
     }
     if (ticket.deadline <= now) {
         return Error{ErrorKind::DeadlineExceeded,
-                     "The deadline had passed on arrival; nothing was sent. Ask again with a longer timeout."};
+                     "The deadline had passed on arrival; nothing was sent. Retry with a longer timeout."};
     }
     const Lane lane = detail::laneOf(ticket);
     if (m_state.queuedTickets >= m_state.options.maximumQueued) {
@@ -160,8 +160,8 @@
         return overloaded(queue, wait, ticket.deadline, now, "the queue is full");
     }
     if (lane == Lane::Continuation) {
-        // An open transaction holds locks, so its next statement is never turned
-        // away by a guess.
+        // An open transaction may hold locks, so its statements are never refused by
+        // prediction.
         return std::nullopt;
     }
     if (!m_state.isLaneOpen(queue, lane)) {
@@ -169,8 +169,8 @@
     }
     const double wait =
         std::max(m_state.expectedWaitSeconds(queue, lane, due, now), m_state.tenantWaitSeconds(queue, lane, ticket.tenant, now));
-    // A backlog that shrinks, as after a pause, is no overload: its tickets and the
-    // arrivals behind them are all answered in time.
+    // A backlog that shrinks, as after a pause, is no overload: its tickets and those
+    // that arrive later are all answered in time.
     const bool waitsTooLong = Seconds(wait) > m_state.options.standingTarget;
     const bool exceedsCapacity = m_state.offeredAtPriorityOf(queue, now) > m_state.slotsFor(queue, now);
     queue.noteArrival(waitsTooLong, exceedsCapacity, m_state.options.standingInterval, now);
@@ -182,7 +182,8 @@
     }
     const bool bounded = m_state.options.discipline == QueueDiscipline::BoundedStanding && m_state.isOverloaded(queue);
     if (bounded && waitsTooLong) {
-        return overloaded(queue, wait, now + m_state.options.standingTarget, now, "more arrives than the upstream can answer");
+        return overloaded(queue, wait, now + m_state.options.standingTarget, now,
+                          "more requests arrive than the upstream can answer");
     }
     return std::nullopt;
 }
@@ -190,13 +191,13 @@
 std::optional<Error> SlotScheduler::Impl::refusalWhileBlocked(ClassQueue &queue, Lane lane, const StatementTicket &ticket,
                                                               TimePoint due, TimePoint now)
 {
-    // Nobody can say when a pause ends or a transaction does. But what could not be
-    // answered in time if it ended now is hopeless, and its caller hears so now.
+    // The end of a pause or of a transaction can't be predicted. Refuses what would be
+    // late even if the lane opened now.
     const double wait = m_state.workAhead(queue, lane, due, now) / m_state.slotsFor(queue, now);
     if (now + toNanoseconds(wait) <= m_state.latestStart(queue, lane, ticket.deadline)) {
         return std::nullopt;
     }
-    return overloaded(queue, wait, ticket.deadline, now, "too much waits for writes or transactions to go on");
+    return overloaded(queue, wait, ticket.deadline, now, "too many requests wait for writes to resume or transactions to end");
 }
 
 Error SlotScheduler::Impl::overloaded(ClassQueue &queue, double waitSeconds, TimePoint deadline, TimePoint now,
@@ -207,7 +208,7 @@
     error.retryAfter = retryAfter(queue, waitSeconds, deadline, now);
     error.message =
         absl::StrCat("Not run: ", std::string(cause), ", about ", std::lround(waitSeconds * 1000),
-                     " ms of work are ahead. Ask again in ", static_cast<std::int64_t>(error.retryAfter.count()), " ms.");
+                     " ms of work are queued. Retry in ", static_cast<std::int64_t>(error.retryAfter.count()), " ms.");
     return error;
 }
 
@@ -329,9 +330,9 @@
     }
     const int inUse = static_cast<int>(m_state.inUse.size());
     const bool hasSlot = inUse < m_state.concurrency.current() || m_state.options.faults.ignoreLimit;
-    // When every slot waits for a lock that an open transaction holds, only that
-    // transaction's next statement can end the wait. One notices slots full and no
-    // answer at all. So it goes above the limit, by a margin, after a stall.
+    // If all running statements wait for a lock that an open transaction holds, only that
+    // transaction's next statement can end the wait: the slots stay full without any
+    // answer. After a stall it may therefore exceed the limit by a margin.
     const bool mayExceed = m_state.isStalled(now) && inUse < m_state.options.slots + m_state.options.limitMargin;
     if (hasSlot || mayExceed) {
         if (auto pick = pickContinuation()) {
@@ -343,8 +344,8 @@
 
 std::optional<SlotScheduler::Impl::Pick> SlotScheduler::Impl::pickContinuation()
 {
-    // Open transactions go before everything: they hold a connection and perhaps
-    // locks that others, also of higher priority, wait for.
+    // Open transactions go before all other work: they hold a connection, and perhaps
+    // locks that statements of higher priority wait for.
     std::optional<Pick> best;
     for (auto &[name, queue] : m_state.classes) {
         const WaitingTicket *waiting = queue.lane(Lane::Continuation).first();
@@ -379,7 +380,7 @@
         }
     }
     if (best && competing == 1) {
-        // Slots that nobody else wants cost the reservation nothing.
+        // Without competing classes, the slot is not charged to the reservation.
         best->fromReservation = false;
     }
     return best;
@@ -473,12 +474,12 @@
             continue;
         }
         Error error =
-            overloaded(queue, m_state.serviceSeconds(queue), waiting->ticket.deadline, now, "its deadline can't be met any more");
+            overloaded(queue, m_state.serviceSeconds(queue), waiting->ticket.deadline, now, "its deadline can no longer be met");
         refuse(queue, waiting->id(), lane, std::move(error), actions);
     }
 }
 
-// It is late already; from now on it makes way for those that need not be.
+// Moves a ticket that can no longer meet its objective behind those that can.
 void SlotScheduler::Impl::demoteLate(ClassQueue &queue, Lane lane, std::uint64_t id, TimePoint now)
 {
     const WaitingTicket late = m_state.removeTicket(queue, lane, id);
@@ -509,7 +510,7 @@
         const double remaining = Seconds(ticket->ticket.deadline - now).count();
         if (wait + service > remaining * predictionSlack) {
             Error error =
-                overloaded(queue, wait, ticket->ticket.deadline, now, "the upstream has become too slow for its deadline");
+                overloaded(queue, wait, ticket->ticket.deadline, now, "the upstream has become too slow to meet its deadline");
             refuse(queue, ticket->id(), lane, std::move(error), actions);
         } else {
             wait += step;
--- a/src/core/slots/slotstate.cpp
+++ b/src/core/slots/slotstate.cpp
@@ -1,5 +1,4 @@
-// Bookkeeping of waiting tickets, and the prediction of waits on which immediate
-// refusals rest.
+// Bookkeeping of queued tickets, and the predicted waits on which refusals rest.
 
 #include "core/slots/slotstate.h"
 
@@ -13,16 +12,16 @@
 namespace
 {
 
-// Class names that no configuration knows get a queue of their own up to here;
-// beyond, they share one, so that made-up names cannot fill the memory.
+// Beyond this number, class names that are not configured share one queue, so that
+// callers can't exhaust the memory with arbitrary names.
 constexpr std::size_t maximumClasses = 256;
 constexpr const char *overflowClass = "";
-// While a slot is lent for long, its owner counts as about for this long.
+// For ReservationPolicy::Lend, a class counts as active for this long after an arrival.
 constexpr milliseconds ownerActiveWindow{2000};
-// Statements that take less than this part of others' time are the shorter ones; closer
-// estimates may only differ by chance.
+// Statements of one class count as shorter if those of the other take longer by this
+// factor; closer estimates may differ by chance.
 constexpr double shorterFactor = 1.25;
-// The least part of the slots that a class is taken to get in the long run.
+// The minimum fraction of the slots that predictions assume for a class.
 constexpr double minimumFraction = 0.05;
 
 } // namespace
@@ -146,9 +145,9 @@
     if (options.faults.ignoreTransactionLimit) {
         return true;
     }
-    // Places that reservations of other classes have not taken up stay free: an
-    // open transaction holds its connection for as long as its caller thinks, so a
-    // lent place, unlike a lent slot, would not come back soon.
+    // Transactions reserved for other classes stay free. They are never lent: an open
+    // transaction holds its connection between statements, for as long as its caller
+    // leaves it open, so unlike a lent slot it would not be returned soon.
     int held = 0;
     for (const auto &[name, other] : classes) {
         if (&other != &queue) {
@@ -264,8 +263,8 @@
 
 std::size_t SlotState::countAhead(const TicketLane &tickets, TimePoint due, TimePoint now) const
 {
-    // Tickets of a tenant that stands back are passed over. Counting them would turn
-    // other tenants away because of one that floods the queue.
+    // Tickets of tenants over their share don't count, since they are passed over. If they
+    // did, a tenant that floods the queue would cause refusals for the others.
     std::size_t passedOver = 0;
     for (const auto &[tenant, count] : limitedQueued) {
         if (isOverShare(tenant, now)) {
@@ -283,7 +282,7 @@
         const double service = serviceSeconds(other);
         for (const Lane otherLane : detail::allLanes) {
             const TicketLane &tickets = other.lane(otherLane);
-            // What is blocked is ahead only of what is blocked as well.
+            // Blocked tickets are only ahead of other blocked tickets.
             if (tickets.empty() || (!isLaneOpen(other, otherLane) && isLaneOpen(queue, lane))) {
                 continue;
             }
@@ -305,7 +304,7 @@
     if (free > heldBackFrom(queue, now)) {
         return 0;
     }
-    // Slots that gave nothing back for long are slower than their last answers say.
+    // While no slot is freed, the recent service time underestimates the wait.
     const double untilNextSlot = std::max(overallService.recent() / limit, stalledSeconds(now));
     const double unreserved = workAhead(queue, lane, due, now) / slotsFor(queue, now);
     if (!queue.isInCredit()) {
@@ -341,7 +340,7 @@
 
 TimePoint SlotState::latestStart(const ClassQueue &queue, Lane lane, TimePoint deadline) const
 {
-    // A statement of an open transaction is tried to the last moment.
+    // Statements of open transactions are admitted up to their deadline.
     return lane == Lane::Continuation ? deadline : deadline - toNanoseconds(serviceSeconds(queue));
 }
 
--- a/src/core/slots/slotstate.h
+++ b/src/core/slots/slotstate.h
@@ -1,5 +1,5 @@
-// What the slot scheduler knows: who waits, who is in use, and what follows from it
-// about the next moments. SlotScheduler decides by it and alone changes it.
+// The state of the slot scheduler, queued tickets and slots in use, and the predictions
+// derived from it. Only SlotScheduler uses and changes it.
 
 #pragma once
 
@@ -26,19 +26,19 @@
     return std::chrono::duration_cast<std::chrono::nanoseconds>(Seconds(seconds));
 }
 
-// A statement that has a slot.
+// A statement that holds a slot.
 struct InUse {
     std::string className;
     std::string tenant;
-    // Slot time that was charged on admission, by the estimate.
+    // Estimated slot time in seconds, charged on admission.
     double charged = 0;
-    // True when it was charged to the reservation as well.
+    // True if it was also charged to the reservation of its class.
     bool fromReservation = false;
-    // True when it counts for the share of its tenant.
+    // True if it counts towards the limited share of its tenant.
     bool isShareLimited = false;
 };
 
-// What a tenant with a limited share uses.
+// The usage of a tenant with a limited share.
 struct TenantState {
     UsageMeter usage;
     int inUse = 0;
@@ -49,66 +49,69 @@
 
     void configure(SlotSchedulerOptions newOptions);
 
-    // The queue of a class, made when first asked for.
+    // The queue of a class, created on first use.
     ClassQueue &classOf(std::string_view name);
-    // Null when nothing of that name was ever here.
+    // Null if the class has no queue yet.
     const ClassQueue *findClass(std::string_view name) const;
     bool isShareLimited(const std::string &tenant) const;
 
     void addTicket(ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint due, TimePoint now);
     WaitingTicket removeTicket(ClassQueue &queue, Lane lane, std::uint64_t id);
 
-    // Whether tickets of this lane may go now, as far as slots allow.
+    // Whether tickets of this lane may be admitted now, given a free slot.
     bool isLaneOpen(const ClassQueue &queue, Lane lane) const;
-    // Free slots that this class may not take, because they are kept for others.
+    // The number of free slots that are reserved for other classes.
     int heldBackFrom(const ClassQueue &queue, TimePoint now) const;
-    // Whether a tenant used more than its share lately.
+    // Whether a tenant recently used more than its share.
     bool isOverShare(const std::string &tenant, TimePoint now) const;
-    // Whether the slots have been silent so long that they may wait for a lock.
+    // Whether no slot was taken or freed for stallBound, so that the running statements
+    // may be waiting for a lock.
     bool isStalled(TimePoint now) const;
 
-    // Slots that the arrivals of all classes of this one's priority ask for.
+    // The slots that the arrivals of all classes with the priority of this one need.
     double offeredAtPriorityOf(const ClassQueue &queue, TimePoint now) const;
-    // True while some class of this one's priority asks for more than it can get.
+    // Whether any class with the priority of this one is overloaded.
     bool isOverloaded(const ClassQueue &queue) const;
-    // Whether all tickets of `left` go before those of `right`, whenever they are due.
+    // Whether all tickets of `left` go before those of `right`, regardless of due times.
     bool ranksBefore(const ClassQueue &left, const ClassQueue &right) const;
 
     // Predictions, in seconds.
     double serviceSeconds(const ClassQueue &queue) const;
-    // Slots that this class can count on, as a number of slots.
+    // The number of slots available to this class; may be fractional.
     double slotsFor(const ClassQueue &queue, TimePoint now) const;
-    // Slot time of all that goes before a ticket of this lane that is due then.
+    // The slot time of all queued tickets that go before a ticket of this lane with this
+    // due time.
     double workAhead(const ClassQueue &queue, Lane lane, TimePoint due, TimePoint now) const;
     double expectedWaitSeconds(const ClassQueue &queue, Lane lane, TimePoint due, TimePoint now) const;
-    // When a ticket that comes now is due: at its objective if that can be met.
+    // The due time of a ticket that arrives now: its objective if that can be met, else its
+    // deadline.
     TimePoint dueOf(const ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint now) const;
-    // Likewise, as far as the share of the tenant makes it wait.
+    // The expected wait due to the limited share of the tenant; 0 if it is within its share.
     double tenantWaitSeconds(const ClassQueue &queue, Lane lane, const std::string &tenant, TimePoint now) const;
-    // From then on a ticket with this deadline is hopeless.
+    // The latest start with which a ticket can meet this deadline.
     TimePoint latestStart(const ClassQueue &queue, Lane lane, TimePoint deadline) const;
 
     SlotSchedulerOptions options;
     bool isPaused = false;
-    // Tickets that wait. Invariant: the sum of all queues and the size of `places`.
+    // Invariant: the total size of all queues, and the size of `ticketLocations`.
     int queuedTickets = 0;
-    // Invariant: size <= slots + limitMargin, but for what was in use when the
-    // slots were lowered.
+    // Invariant: size <= slots + limitMargin, except for statements that were already
+    // running when the slots were reduced.
     absl::flat_hash_map<std::uint64_t, InUse> inUse;
     ConcurrencyLimit concurrency;
     // Over all classes.
     ServiceEstimate overallService;
     std::map<std::string, ClassQueue, std::less<>> classes;
-    // Tenants whose share is limited, and those that were until their last statement.
+    // Tenants with a limited share, and former ones until their last statement ends.
     absl::flat_hash_map<std::string, TenantState> tenants;
-    // Where each waiting ticket is.
+    // The class and lane of each queued ticket.
     absl::flat_hash_map<std::uint64_t, std::pair<std::string, Lane>> ticketLocations;
-    // Waiting tickets of each tenant whose share is limited.
+    // Queued tickets of each tenant with a limited share.
     absl::flat_hash_map<std::string, int> limitedQueued;
     std::uint64_t nextSequence = 0;
     // Invariant: the sum over all classes.
     int openTransactions = 0;
-    // The last time a slot was taken or given back; a stall counts from here.
+    // When a slot was last taken or freed.
     TimePoint progressAt = TimePoint::min();
 
 private:
--- a/src/core/slots/ticketlane.cpp
+++ b/src/core/slots/ticketlane.cpp
@@ -1,4 +1,4 @@
-// Ordered storage of waiting tickets.
+// Ordered storage of queued tickets.
 
 #include "core/slots/ticketlane.h"
 
--- a/src/core/slots/ticketlane.h
+++ b/src/core/slots/ticketlane.h
@@ -1,5 +1,5 @@
-// The waiting tickets of one class that are held back or let go together, such as
-// all writes while a planned change of primary pauses them.
+// The queued tickets of one class that share the same conditions for admission, such as
+// all writes, which a planned change of primary holds back together.
 
 #pragma once
 
@@ -23,9 +23,9 @@
 namespace egrettide::detail
 {
 
-// The order of service: what is due first goes first, arrivals decide between equals.
+// The order of service: by due time, then by arrival.
 struct QueueKey {
-    // The objective while it can be met, then the deadline.
+    // The objective while it can be met, afterwards the deadline.
     TimePoint due;
     std::uint64_t sequence = 0;
 
@@ -48,14 +48,14 @@
     }
 };
 
-// True when a tenant has to stand back while others wait.
+// Returns true for a tenant that is over its share and has to yield to others.
 using TenantPredicate = std::function<bool(const std::string &)>;
 
 class TicketLane
 {
 public:
     void insert(WaitingTicket waiting);
-    // Takes a ticket out; empty when it is not here.
+    // Removes a ticket and returns it; nullopt if it is not in this lane.
     std::optional<WaitingTicket> take(std::uint64_t id);
     bool contains(std::uint64_t id) const;
 
@@ -68,13 +68,13 @@
         return m_tickets.size();
     }
 
-    // How many tickets are due at or before this moment.
+    // The number of tickets that are due at or before `due`.
     std::size_t countUpTo(TimePoint due) const;
     std::size_t countOf(const std::string &tenant) const;
-    // The ticket due first; null when empty.
+    // The ticket due first; null if the lane is empty.
     const WaitingTicket *first() const;
-    // The first ticket of a tenant that need not stand back; of all tickets when
-    // every tenant has to. Costs one step for each tenant that stands back.
+    // The first ticket of a tenant within its share, or first() if all tenants are over
+    // their share. Linear in the number of tenants over their share.
     const WaitingTicket *firstWithinShare(const TenantPredicate &isOverShare) const;
     // All tickets in order of service.
     std::vector<const WaitingTicket *> inOrder() const;
@@ -114,7 +114,7 @@
     void replaceHead(const std::optional<TenantHead> &before, const std::optional<TenantHead> &after);
 
     Tickets m_tickets;
-    // Invariant: one entry for each tenant with a ticket here, its earliest.
+    // Invariant: one entry for each tenant with a ticket in this lane, its earliest.
     std::set<TenantHead> m_heads;
 };
 
--- a/src/core/upstreams/connectionbudget.cpp
+++ b/src/core/upstreams/connectionbudget.cpp
@@ -1,4 +1,4 @@
-// Shares by state, and the number of connections worth keeping warm.
+// The allowance by state, and the number of connections to keep open.
 
 #include "egrettide/core/connectionbudget.h"
 
@@ -67,7 +67,7 @@
 void ConnectionBudget::unsettle(TimePoint now)
 {
     if (now >= m_settlesAt) {
-        // It fell when its confirmations ended, if that was earlier.
+        // If the confirmations expired earlier, the settled share was lost then.
         const TimePoint unsettledAt = isConfirmed(now) ? now : m_confirmedUntil;
         m_shedToTakeoverBy = std::max(m_shedToTakeoverBy, unsettledAt + m_options.shedBound);
     }
@@ -87,9 +87,9 @@
 
 void ConnectionBudget::handedBack(const HandBack &handBack, TimePoint now)
 {
-    // A predecessor that was itself waiting for one before it knows nothing about
-    // that one's connections. One would notice three homes' worth of connections
-    // after two quick changes of view.
+    // A predecessor that was not settled can't vouch for the connections of its own
+    // predecessor. Trusting it would allow the connections of three homes at once after
+    // two quick changes of view.
     const bool trusted = handBack.settled || m_options.faults.trustUnsettledHandBack;
     if (!m_isHome || !trusted) {
         return;
@@ -106,7 +106,7 @@
         return;
     }
     if (askedAt >= m_confirmedUntil) {
-        // While nobody confirmed this home, another one may have settled.
+        // While this home was not confirmed, another one may have settled.
         unsettle(askedAt);
         if (askedAt <= m_handedBackUntil) {
             m_settlesAt = askedAt;
@@ -131,9 +131,9 @@
     if (m_options.faults.ignoreRefusals) {
         return;
     }
-    // The upstream is full though the shares should leave room: somebody unknown
-    // holds connections. Give some back for the control reserve, and count as a
-    // newcomer from here on.
+    // The upstream is full although the shares leave room, so connections exist that this
+    // budget does not account for. Give one up for the control reserve, and return to the
+    // takeover share.
     const int lower = std::max(1, open - 1);
     m_refusedAllowance = std::min({allowance(now), lower, takeoverConnections()});
     m_refusedUntil = now + m_options.refusalBackoff;
@@ -169,8 +169,8 @@
     }
     const bool lapsed = now >= m_settlesAt && !isConfirmed(now);
     const TimePoint shedsBy = lapsed ? m_confirmedUntil + m_options.shedBound : m_shedToTakeoverBy;
-    // A refusal lowers the allowance for a while only. Cutting statements for it
-    // would turn a refused opening into unknown outcomes.
+    // A refusal lowers the allowance only temporarily. Closing busy connections for it
+    // would turn a refused connection into unknown outcomes.
     return now < m_refusedUntil ? std::max(shedsBy, m_refusedUntil + m_options.shedBound) : shedsBy;
 }
 
--- a/src/core/upstreams/connectionplan.cpp
+++ b/src/core/upstreams/connectionplan.cpp
@@ -1,4 +1,4 @@
-// Whose connection is opened, and whose is closed for it.
+// The choice of the owner to open a connection for, and of the connection to close.
 
 #include "egrettide/core/connectionplan.h"
 
@@ -102,7 +102,7 @@
     return std::nullopt;
 }
 
-// The first that waits and for which nothing is opened or spare.
+// The first waiting owner with fewer opening and spare connections than waiting requests.
 std::optional<std::string_view> ConnectionPlan::unservedOwner(const std::vector<PooledConnection> &connections,
                                                               const std::vector<std::string_view> &waiting) const
 {
@@ -114,7 +114,8 @@
     return std::nullopt;
 }
 
-// A spare connection of an owner that does not wait, else any spare one.
+// The spare connection to close: if possible of an owner without waiting requests, then by
+// EvictionPolicy. nullopt if no connection is spare.
 std::optional<std::size_t> ConnectionPlan::evictionCandidate(const std::vector<PooledConnection> &connections,
                                                              const std::vector<std::string_view> &waiting, TimePoint now) const
 {
@@ -138,7 +139,7 @@
     return best;
 }
 
-// The owner that asks most often of those that have nothing open.
+// The owner with the highest request rate of those without any connection.
 std::optional<std::string> ConnectionPlan::ownerToOpenAhead(const std::vector<PooledConnection> &connections, TimePoint now) const
 {
     if (!m_options.perOwner) {
--- a/src/core/upstreams/requestledger.cpp
+++ b/src/core/upstreams/requestledger.cpp
@@ -1,5 +1,5 @@
-// Transitions of requests. Every path to a final state goes through close(), which
-// forgets the request, so a second final answer has nothing to refer to.
+// The transitions of requests. Every transition to a final state goes through close(),
+// which removes the request, so a second final answer is impossible.
 
 #include "egrettide/core/requestledger.h"
 
@@ -23,7 +23,7 @@
     error.kind = ErrorKind::UnknownOutcome;
     error.message = "The request was sent and its answer was lost: " + std::string(cause) + ". ";
     const bool harmless = facts.idempotent || facts.kind == StatementKind::Read;
-    error.message += harmless ? "Running it again is harmless." : "Check whether it took effect before you ask again.";
+    error.message += harmless ? "Running it again is harmless." : "Check whether it took effect before you retry.";
     return error;
 }
 
@@ -31,7 +31,7 @@
 {
     Error error;
     error.kind = ErrorKind::Moved;
-    error.message = "Not run: the way to the upstream is gone. Ask again in " + std::to_string(retryAfter.count()) + " ms.";
+    error.message = "Not run: the connection to the upstream is gone. Retry in " + std::to_string(retryAfter.count()) + " ms.";
     error.retryAfter = retryAfter;
     return error;
 }
@@ -54,7 +54,7 @@
 {
     const bool isNew = m_entries.try_emplace(facts.id, Entry{facts, RequestState::Queued, 0, 0, false}).second;
     if (!isNew) {
-        return tl::unexpected(invalidInput("The request is open already; give each request an id of its own."));
+        return tl::unexpected(invalidInput("The request is open already; give each request a unique id."));
     }
     m_deadlines.emplace(std::make_pair(facts.deadline, facts.id), true);
     return {};
@@ -64,7 +64,7 @@
 {
     const auto found = m_entries.find(id);
     if (found == m_entries.end() || found->second.state != RequestState::Queued) {
-        return tl::unexpected(invalidInput("Only a queued request can be sent; this one has left or is closed."));
+        return tl::unexpected(invalidInput("Only a queued request can be sent; this one was sent already or is closed."));
     }
     Entry &entry = found->second;
     entry.state = RequestState::Sent;
@@ -126,8 +126,8 @@
 
 bool RequestLedger::mayRunTwice(const RequestFacts &facts)
 {
-    // Within a transaction even a read can't be repeated elsewhere: the
-    // transaction's snapshot and locks died with its connection.
+    // Within a transaction even a read can't be repeated elsewhere: the snapshot and the
+    // locks of the transaction were lost with its connection.
     return !facts.inTransaction && (facts.idempotent || facts.kind == StatementKind::Read);
 }
 
@@ -182,9 +182,8 @@
 
 Error RequestLedger::finalError(const Entry &entry, const Error &error)
 {
-    // An earlier attempt may have run: then a refusal of the last one must not read
-    // as if nothing ran. One would notice a caller asking again after "not run" and
-    // an idempotent effect applied twice.
+    // If an earlier attempt may have run, a refusal of the last one must not report that
+    // the request did not run: the caller would retry and the effect be applied twice.
     if (entry.mayHaveRun && outcomeOf(error.kind) == Outcome::NotRun) {
         Error unknown = unknownOutcomeError(entry.facts, error.message);
         unknown.retryAfter = error.retryAfter;
@@ -252,8 +251,8 @@
     if (entry.state == RequestState::Queued) {
         return close(entry, LedgerAction::Kind::Fail, finalError(entry, reason));
     }
-    // The answer may still come. Handing this connection to another request would
-    // give that one this answer, so the connection has to go.
+    // The answer may still arrive, and the next request on this connection would receive
+    // it, so the connection must be closed.
     std::optional<HopId> hopToClose;
     if (entry.state == RequestState::Sent) {
         detach(entry);
--- a/src/core/upstreams/retrybudget.cpp
+++ b/src/core/upstreams/retrybudget.cpp
@@ -1,4 +1,4 @@
-// The bucket of earned retries.
+// The token bucket of earned retries.
 
 #include "egrettide/core/retrybudget.h"
 
@@ -9,8 +9,9 @@
 
 namespace
 {
+// The budget counts in thousandths of a retry.
 constexpr std::int64_t unitsPerRetry = 1000;
-}
+} // namespace
 
 RetryBudget::RetryBudget(const RetryBudgetOptions &options) : m_options(options)
 {
--- a/src/core/upstreams/router.cpp
+++ b/src/core/upstreams/router.cpp
@@ -1,5 +1,5 @@
-// Router: the choice of an upstream, and what to do after a refusal. What is known of each
-// upstream is in routermembers.cpp.
+// Router: the choice of an upstream, and the decision after a refusal. The state of each
+// upstream is kept in routermembers.cpp.
 
 #include "egrettide/core/router.h"
 
@@ -16,7 +16,7 @@
 using std::chrono::microseconds;
 
 constexpr milliseconds noPrimaryRetryAfter{200};
-// Waits closer than this count as equal: hints are older than the difference.
+// Waits that differ by less count as equal, since hints are older than that.
 constexpr microseconds equalWaitMargin{1000};
 
 std::string keyOf(std::string_view name)
@@ -27,7 +27,7 @@
 Error noPrimary(std::string_view database)
 {
     return Error{ErrorKind::NoPrimary,
-                 "No upstream of " + std::string(database) + " is known that takes this request; it did not run, try again.",
+                 "No upstream of " + std::string(database) + " is known that accepts this request; it did not run, try again.",
                  noPrimaryRetryAfter};
 }
 
@@ -188,8 +188,7 @@
     return Route{std::move(upstream), primary, reason};
 }
 
-// A replica that probably serves the read in time. Otherwise `reason` says why
-// there is none.
+// A replica that is expected to serve the read in time. If there is none, sets `reason`.
 std::optional<Route> Router::replicaRoute(const ChoiceContext &context, RouteAttempts &attempts, std::mt19937_64 &random,
                                           PrimaryReason &reason) const
 {
@@ -204,7 +203,8 @@
         }
         const Member &member = context.group.members.at(name);
         if (const auto obstacle = exclusionReason(context, member)) {
-            // Health says least: a replica that is merely behind could have served.
+            // Any other reason takes precedence over Health: it tells more about why the
+            // read went to the primary.
             why = why && *why != PrimaryReason::Health ? why : obstacle;
             continue;
         }
@@ -228,7 +228,7 @@
     if (!context.attempts.m_askOthers || mayBeReplica) {
         return std::nullopt;
     }
-    // Any home of the group may know the primary; its refusal names it.
+    // Any home of the group may know the primary and name it in the hint of its refusal.
     const std::size_t round = context.attempts.roundsBegunAgain();
     if (round > 0 && !context.attempts.m_tries.empty()) {
         return std::nullopt;
@@ -242,8 +242,8 @@
     return std::nullopt;
 }
 
-// A read that neither a fit replica nor the primary takes: whoever is left may
-// still serve it, since predictions are only guesses.
+// The last option for a read: an untried replica that was excluded only by prediction or
+// after a recent failure, and may be able to serve the read after all.
 std::optional<Route> Router::untriedReplicaRoute(const ChoiceContext &context, RouteAttempts &attempts) const
 {
     for (const std::string &name : context.group.order) {
@@ -268,8 +268,9 @@
     return result;
 }
 
-// The better of two picked at random, among those of the own zone while one of
-// them is quick. All fronts choosing the best one would overload it by turns.
+// The better of two random candidates, from the own zone while one of its candidates is
+// within localWaitLimit. If all fronts chose the best candidate, they would overload each
+// upstream in turn.
 const Router::Candidate &Router::pick(const std::vector<Candidate> &all, std::mt19937_64 &random) const
 {
     std::vector<const Candidate *> pool;
@@ -290,9 +291,9 @@
     return *two[0];
 }
 
-// The budget bounds retries that add load where there is too much of it or where
-// answers get lost. Refusals that only say "not here" are bounded by the number of
-// upstreams, and cutting them off would fail requests after every change of primary.
+// The retry budget limits retries after overload or lost answers, which add load. Retries
+// after refusals such as Moved are limited by the number of upstreams; charging them to
+// the budget would fail requests after every change of primary.
 bool Router::consumesRetryBudget(ErrorKind kind)
 {
     return kind == ErrorKind::Overloaded || kind == ErrorKind::ConnectionLimit || kind == ErrorKind::UnknownOutcome;
@@ -322,7 +323,7 @@
     }
 }
 
-// The gate's reason does not travel; what the request asked for tells it.
+// A NotFresh reply does not carry its reason, so this derives it from the request.
 PrimaryReason Router::refusalReason(const StatementRequest &request, const StatementReply &reply, std::string_view upstream) const
 {
     switch (reply.error->kind) {
@@ -396,7 +397,7 @@
         return Finish{};
     }
     return Finish{Error{ErrorKind::UnknownOutcome,
-                        "An earlier attempt of this request was lost after it had been sent, and the next was refused; find out "
+                        "An earlier attempt of this request was lost after it had been sent, and the next one was refused; check "
                         "whether it ran before you send it again.",
                         milliseconds{0}}};
 }
--- a/src/core/upstreams/routermembers.cpp
+++ b/src/core/upstreams/routermembers.cpp
@@ -1,5 +1,5 @@
-// What a front knows of each upstream, from hints and from refusals, and whether it is fit
-// for a read.
+// Router: the state of each upstream, from hints and refusals, and whether the upstream is
+// suitable for a read.
 
 #include "egrettide/core/router.h"
 
@@ -13,7 +13,7 @@
 
 using std::chrono::microseconds;
 
-// The guess for a replica whose replay rate is unknown.
+// The assumed wait for the floor at a replica whose replay rate is unknown.
 constexpr microseconds unknownReplayWait{5000};
 // The weight of the newest observation in the smoothed replay rate.
 constexpr double rateWeight = 0.3;
@@ -31,8 +31,8 @@
         group.term = hint.term;
         group.primary.clear();
     }
-    const bool isNews = hint.primary != group.primary && group.members.contains(hint.primary);
-    if (isNews) {
+    const bool primaryChanged = hint.primary != group.primary && group.members.contains(hint.primary);
+    if (primaryChanged) {
         group.primary = hint.primary;
     }
     for (const MemberHint &memberHint : hint.members) {
@@ -41,7 +41,7 @@
             learnMember(member->second, memberHint, memberHint.upstream == upstream, now);
         }
     }
-    if (isNews && m_learned) {
+    if (primaryChanged && m_learned) {
         m_learned(hint.database);
     }
 }
@@ -50,7 +50,8 @@
 {
     const bool ownHintIsCurrent = !fromOwnHome && member.ownHintAt && now - *member.ownHintAt < m_options.ownHintPrecedence;
     const bool reachable = hint.reachable || (ownHintIsCurrent && member.hint.reachable);
-    // A member's own home hears of its positions with every answer, others now and then.
+    // A member's own home gets its position with every answer, other homes only from time
+    // to time.
     const bool isOlderThanOwnHint = ownHintIsCurrent && hint.replayed <= member.hint.replayed;
     if (isOlderThanOwnHint) {
         member.hint.leaving = hint.leaving;
@@ -79,8 +80,9 @@
     return !member.leaving && !lost && now >= member.avoidUntil;
 }
 
-// What goes wrong otherwise: the link to a home breaks, its replies carry no hint,
-// and every read of this front is lost there first until someone else says so.
+// Without this, after the link to a home breaks, every read of this front is first lost
+// there until another home reports the upstream as unreachable, since the lost replies
+// carry no hint.
 void Router::noteRefusal(const StatementRequest &request, const StatementReply &reply, const std::string &upstream, TimePoint now)
 {
     Group &found = m_groups.at(request.database);
@@ -110,7 +112,7 @@
 
 void Router::extendBackoff(NotFreshBackoff &backoff, TimePoint now) const
 {
-    // Reads that were under way together count once.
+    // Refusals of concurrent reads count once.
     if (now < backoff.until) {
         return;
     }
@@ -137,12 +139,13 @@
     if (isBackedOff(context.request, member, context.now)) {
         return freshness.floor ? PrimaryReason::Floor : PrimaryReason::Age;
     }
-    const bool isNews = context.now < member.learnedAt + m_options.hintValidity;
-    if (isNews && floorWait(context, member) > context.group.replicaWait) {
+    const bool isCurrent = context.now < member.learnedAt + m_options.hintValidity;
+    if (isCurrent && floorWait(context, member) > context.group.replicaWait) {
         return PrimaryReason::Floor;
     }
-    // The hint's age is the replica's usual lag; it is renewed until the read arrives.
-    if (isNews && member.known && freshness.maxAge && member.hint.age > *freshness.maxAge + context.group.replicaWait) {
+    // The age in the hint is taken as the replica's usual lag. The time since the hint is
+    // not added, since the replica keeps replaying until the read arrives.
+    if (isCurrent && member.known && freshness.maxAge && member.hint.age > *freshness.maxAge + context.group.replicaWait) {
         return PrimaryReason::Age;
     }
     if (context.now + member.hint.expectedWait > context.request.deadline) {
