--- a/tests/core/atmostonce_test.cpp
+++ b/tests/core/atmostonce_test.cpp
@@ -1,5 +1,6 @@
-// A charge runs at most once, and "not run" is true, over the whole way of a request:
-// front, hop, home and upstream under seeded faults; see requestpath.h.
+// Requests through front, hop, home and upstream under seeded faults: a charge, that is a
+// write that is not idempotent, runs at most once, and a request that is reported as not
+// run never ran. See requestpath.h.
 
 #define BOOST_TEST_MODULE AtMostOnce
 #include <boost/test/unit_test.hpp>
@@ -31,14 +32,14 @@
         }
     }
     BOOST_TEST(found.find(expected) != std::string::npos,
-               "expected '" << expected << "', last found '" << found << "'; the schedules no longer reach it");
+               "expected '" << expected << "', last found '" << found << "'; the schedules no longer produce it");
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(Requests)
 
-BOOST_AUTO_TEST_CASE(RunAtMostOnceAndAreToldTheTruth)
+BOOST_AUTO_TEST_CASE(RunAtMostOnceAndReportTrueOutcomes)
 {
     RequestPathCounts counts;
     for (std::uint64_t seed = 1; seed <= schedules; ++seed) {
@@ -49,28 +50,28 @@
     }
     BOOST_TEST_MESSAGE(schedules << " schedules: " << counts.requests << " requests, " << counts.runs << " runs, "
                                  << counts.answered << " answered, " << counts.notRun << " not run, " << counts.unknown
-                                 << " unknown, " << counts.chargesSentAgain << " charges sent again, " << counts.harmlessSentAgain
-                                 << " others sent again, " << counts.lateReplies << " late replies, " << counts.lostLinks
-                                 << " lost links, " << counts.ranAfterItsLinkWasLost << " ran after that, "
-                                 << counts.brokenConnections << " broken connections, " << counts.homeDeaths << " homes died, "
-                                 << counts.primaryChanges << " primary changes, " << counts.misleadingRefusals
-                                 << " misleading refusals");
-    // A schedule without these proves nothing.
+                                 << " unknown, " << counts.chargesRetried << " charges retried, " << counts.repeatableRetried
+                                 << " others retried, " << counts.lateReplies << " late replies, " << counts.lostLinks
+                                 << " lost links, " << counts.ranAfterLinkLoss << " ran after the loss of their link, "
+                                 << counts.brokenConnections << " broken connections, " << counts.homeCrashes
+                                 << " homes crashed, " << counts.primaryChanges << " primary changes, "
+                                 << counts.misleadingRefusals << " refusals after an unknown outcome");
+    // Schedules without these don't exercise the claim.
     BOOST_TEST(counts.answered > 5 * schedules);
     BOOST_TEST(counts.notRun > schedules / 2);
     BOOST_TEST(counts.unknown > schedules / 2);
-    BOOST_TEST(counts.chargesSentAgain > schedules);
-    BOOST_TEST(counts.harmlessSentAgain > schedules);
+    BOOST_TEST(counts.chargesRetried > schedules);
+    BOOST_TEST(counts.repeatableRetried > schedules);
     BOOST_TEST(counts.lateReplies > schedules / 2);
     BOOST_TEST(counts.lostLinks > schedules);
-    BOOST_TEST(counts.ranAfterItsLinkWasLost > schedules / 20);
+    BOOST_TEST(counts.ranAfterLinkLoss > schedules / 20);
     BOOST_TEST(counts.brokenConnections > schedules / 2);
-    BOOST_TEST(counts.homeDeaths > schedules);
+    BOOST_TEST(counts.homeCrashes > schedules);
     BOOST_TEST(counts.primaryChanges > schedules);
     BOOST_TEST(counts.misleadingRefusals > schedules / 100);
 }
 
-BOOST_AUTO_TEST_CASE(HoldForSchedulesThatNobodyChose)
+BOOST_AUTO_TEST_CASE(RunAtMostOnceInRandomSchedules)
 {
     BOOST_TEST(rc::check("at most one run, truthful refusals, one answer", [] {
         const std::uint64_t seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -79,52 +80,48 @@
     }));
 }
 
-// The differential test: a front that sends again whatever failed.
-BOOST_AUTO_TEST_CASE(OfANaiveFrontRunTwice)
+// The check must fail for a front that retries every failed request.
+BOOST_AUTO_TEST_CASE(RunTwiceIfTheFrontRetriesEverything)
 {
     RequestPathFaults faults;
-    faults.naiveFront = true;
+    faults.frontRetriesEverything = true;
     checkCaught(faults, "ran twice");
 }
 
-// Symptom: a parent is charged twice.
-// Sequence: a charge leaves over a link, the link breaks, the charge is sent elsewhere.
-// Cause: a broken link was taken for "not run".
-BOOST_AUTO_TEST_CASE(RunTwiceOnceALostLinkPassesForNotRun)
+// If a broken link is reported as "not run", a charge that was sent over it is retried
+// elsewhere and runs twice.
+BOOST_AUTO_TEST_CASE(RunTwiceIfALostLinkIsReportedAsNotRun)
 {
     RequestPathFaults faults;
-    faults.lossIsNotRun = true;
+    faults.lossReportedAsNotRun = true;
     checkCaught(faults, "ran twice");
 }
 
-// Symptom: "not run" for what ran.
-// Sequence: an idempotent write is lost, sent again and refused.
-// Cause: the refusal speaks for the last attempt only.
-BOOST_AUTO_TEST_CASE(AreMisledOnceRefusalsAreTrusted)
+// An idempotent write is lost, retried and refused. If the refusal of the last attempt is
+// returned, the caller gets "not run" although the first attempt may have run.
+BOOST_AUTO_TEST_CASE(AreReportedAsNotRunIfTheLastRefusalIsReturned)
 {
     RequestPathFaults faults;
-    faults.trustsNotRun = true;
+    faults.acceptsLastRefusal = true;
     checkCaught(faults, "\"not run\"");
 }
 
-// Symptom: an answer before the request is decided, or two sendings at once.
-// Sequence: a reply of an earlier sending comes after the next one has left.
-// Cause: replies are matched by request, not by sending.
-BOOST_AUTO_TEST_CASE(AreMixedUpOnceLateRepliesAreTaken)
+// If replies are matched by request instead of by attempt, a reply to an earlier attempt
+// that arrives after the next one was sent ends the request too early or sends it twice.
+BOOST_AUTO_TEST_CASE(AreMixedUpIfLateRepliesAreAccepted)
 {
     RequestPathFaults faults;
-    faults.takesLateReplies = true;
+    faults.acceptsLateReplies = true;
     bool caught = false;
     for (std::uint64_t seed = 1; seed <= schedules && !caught; ++seed) {
         caught = !RequestPath(seed, faults).run().empty();
     }
-    BOOST_TEST(caught, "late replies were taken unnoticed");
+    BOOST_TEST(caught, "accepted late replies are not detected");
 }
 
-// Symptom: a parent is charged twice.
-// Sequence: the connection of a charge breaks; its home opens another and repeats it.
-// Cause: no answer was taken for not run.
-BOOST_AUTO_TEST_CASE(RunTwiceOnceAHomeRepeatsThem)
+// If a home retries a charge on another connection after its connection broke, the charge
+// runs twice: a missing answer does not mean that it did not run.
+BOOST_AUTO_TEST_CASE(RunTwiceIfAHomeRetriesThem)
 {
     RequestPathFaults faults;
     faults.homeResends = true;
@@ -139,7 +136,7 @@
 {
     RequestPathCounts counts;
     for (std::uint64_t seed = 1; seed <= schedules; ++seed) {
-        RequestPath path(seed, {}, RequestPathTrouble::PlannedStops);
+        RequestPath path(seed, {}, RequestPathScenario::PlannedStops);
         const std::string violation = path.run();
         BOOST_TEST_REQUIRE(violation == "", "seed " << seed << ": " << violation);
         BOOST_TEST_REQUIRE(path.counts().answered == path.counts().requests,
@@ -148,7 +145,7 @@
         counts.add(path.counts());
     }
     BOOST_TEST_MESSAGE(schedules << " schedules: " << counts.requests << " requests, " << counts.answered << " answered, "
-                                 << counts.notRun << " refused as not run; " << counts.plannedStops << " stops met "
+                                 << counts.notRun << " refused as not run; " << counts.plannedStops << " stops with "
                                  << counts.inProgressAtStops << " requests in progress and " << counts.queuedAtStops
                                  << " queued");
     BOOST_TEST(counts.plannedStops > schedules);
@@ -156,20 +153,19 @@
     BOOST_TEST(counts.queuedAtStops > schedules / 10);
 }
 
-// Symptom: a planned replacement of hosts shows up as charges of unknown outcome.
-// Sequence: a host is stopped while its requests are at the upstream.
-// Cause: its process ends before they do.
-BOOST_AUTO_TEST_CASE(ThatDoNotWaitAreCaught)
+// If the process of a stopped host ends before its requests at the upstream do, a planned
+// replacement of hosts leaves charges with an unknown outcome.
+BOOST_AUTO_TEST_CASE(ThatDoNotWaitLeaveUnknownOutcomes)
 {
     RequestPathFaults faults;
     faults.stopsAtOnce = true;
     std::size_t unknown = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        RequestPath path(seed, faults, RequestPathTrouble::PlannedStops);
+        RequestPath path(seed, faults, RequestPathScenario::PlannedStops);
         BOOST_TEST(path.run() == "");
         unknown += path.counts().unknown;
     }
-    BOOST_TEST(unknown > 0U, "stops that cut their requests went unnoticed");
+    BOOST_TEST(unknown > 0U, "stops that abort their requests are not detected");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/connectionbudget_test.cpp
+++ b/tests/core/connectionbudget_test.cpp
@@ -1,5 +1,5 @@
-// That the connections of several hosts which each believe what they like fit into
-// one upstream, and that enough are kept open ahead of demand.
+// The connections of several hosts fit into the limit of one upstream whatever their views
+// of its home are, and enough connections are kept open ahead of demand.
 
 #define BOOST_TEST_MODULE ConnectionBudget
 #include <boost/test/unit_test.hpp>
@@ -33,13 +33,13 @@
 constexpr int dataConnections = 24;
 constexpr std::uint64_t schedulesPerCase = 40;
 
-// Several hosts of one zone, each with its own view of who is home of one upstream,
-// and the connections that the upstream counts. Words drive views, deaths, freezes,
-// lost messages and time.
-class Zone
+// Simulates several hosts of one zone, each with its own view of which host is home of one
+// upstream, and counts their connections. Random words choose changes of view, restarts,
+// suspensions, lost messages and the progress of time.
+class ZoneSimulation
 {
 public:
-    Zone(const ConnectionBudgetOptions &options, std::size_t hosts, bool upstreamClosesSilent)
+    ZoneSimulation(const ConnectionBudgetOptions &options, std::size_t hosts, bool upstreamClosesSilent)
         : m_options(options), m_upstreamClosesSilent(upstreamClosesSilent)
     {
         for (std::size_t index = 0; index < hosts; ++index) {
@@ -47,19 +47,19 @@
         }
     }
 
-    // The most connections that the hosts wanted to hold together at any moment when
-    // at most `holders` hosts held some.
-    int worst(const std::vector<std::uint32_t> &words, std::size_t holders)
+    // The maximum total of connections at any time when at most `holders` hosts hold
+    // connections.
+    int mostConnections(const std::vector<std::uint32_t> &words, std::size_t holders)
     {
-        int worst = 0;
+        int mostConnections = 0;
         for (const std::uint32_t word : words) {
             step(word);
             tick();
             if (holding() <= holders) {
-                worst = std::max(worst, open());
+                mostConnections = std::max(mostConnections, open());
             }
         }
-        return worst;
+        return mostConnections;
     }
 
     int open() const
@@ -79,11 +79,11 @@
         ConnectionBudget budget;
         int open = 0;
         bool isBusy = false;
-        bool isFrozen = false;
-        TimePoint frozenAt;
-        // Whom this host sees as home, and whom it saw before.
-        std::size_t seen = SIZE_MAX;
-        std::size_t seenBefore = SIZE_MAX;
+        bool isSuspended = false;
+        TimePoint suspendedAt;
+        // The current and the previous home in the view of this host.
+        std::size_t viewedHome = SIZE_MAX;
+        std::size_t previousHome = SIZE_MAX;
         bool resigned = false;
     };
 
@@ -107,13 +107,13 @@
             changeAllViews(word / 1000 % m_hosts.size());
             break;
         case 4:
-            // Killed and started anew.
+            // The host crashes and restarts.
             host = Host(m_options);
             break;
         case 5:
-            host.isFrozen = !host.isFrozen;
-            if (host.isFrozen) {
-                host.frozenAt = m_now;
+            host.isSuspended = !host.isSuspended;
+            if (host.isSuspended) {
+                host.suspendedAt = m_now;
             } else {
                 host.budget.suspended(m_now);
             }
@@ -130,15 +130,15 @@
     void changeView(std::size_t index, std::size_t home)
     {
         Host &host = m_hosts[index];
-        if (host.isFrozen || host.seen == home) {
+        if (host.isSuspended || host.viewedHome == home) {
             return;
         }
-        host.seenBefore = host.seen;
-        if (host.seen == index) {
+        host.previousHome = host.viewedHome;
+        if (host.viewedHome == index) {
             host.budget.resign(m_now);
             host.resigned = true;
         }
-        host.seen = home;
+        host.viewedHome = home;
         if (home == index) {
             host.budget.becomeHome(m_now);
             host.resigned = false;
@@ -156,9 +156,9 @@
     {
         for (std::size_t index = 0; index < m_hosts.size(); ++index) {
             Host &host = m_hosts[index];
-            if (host.isFrozen) {
-                const bool silentForLong = m_now >= host.frozenAt + m_options.shedBound;
-                host.open = m_upstreamClosesSilent && silentForLong ? 0 : host.open;
+            if (host.isSuspended) {
+                const bool keepaliveExpired = m_now >= host.suspendedAt + m_options.shedBound;
+                host.open = m_upstreamClosesSilent && keepaliveExpired ? 0 : host.open;
                 continue;
             }
             confirm(index);
@@ -169,11 +169,11 @@
 
     void confirm(std::size_t index)
     {
-        if (m_hosts[index].seen != index) {
+        if (m_hosts[index].viewedHome != index) {
             return;
         }
         const auto votes = std::count_if(m_hosts.begin(), m_hosts.end(),
-                                         [index](const Host &other) { return !other.isFrozen && other.seen == index; });
+                                         [index](const Host &other) { return !other.isSuspended && other.viewedHome == index; });
         if (static_cast<std::size_t>(votes) * 2 > m_hosts.size()) {
             m_hosts[index].budget.confirmed(m_now);
         }
@@ -191,13 +191,13 @@
     void handBack(std::size_t index)
     {
         Host &host = m_hosts[index];
-        if (!host.resigned || host.open > 0 || host.seen >= m_hosts.size()) {
+        if (!host.resigned || host.open > 0 || host.viewedHome >= m_hosts.size()) {
             return;
         }
         host.resigned = false;
         const HandBack message = host.budget.handBack(m_now);
-        Host &successor = m_hosts[host.seen];
-        if (!successor.isFrozen && successor.seen == host.seen && successor.seenBefore == index) {
+        Host &successor = m_hosts[host.viewedHome];
+        if (!successor.isSuspended && successor.viewedHome == host.viewedHome && successor.previousHome == index) {
             successor.budget.handedBack(message, m_now);
         }
     }
@@ -216,16 +216,18 @@
     return words;
 }
 
-int worstOfSeeds(const ConnectionBudgetOptions &options, std::size_t hosts, bool upstreamClosesSilent, std::size_t holders)
+int mostConnectionsOfSeeds(const ConnectionBudgetOptions &options, std::size_t hosts, bool upstreamClosesSilent,
+                           std::size_t holders)
 {
-    int worst = 0;
+    int mostConnections = 0;
     for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
-        worst = std::max(worst, Zone(options, hosts, upstreamClosesSilent).worst(wordsOf(seed), holders));
+        mostConnections = std::max(mostConnections,
+                                   ZoneSimulation(options, hosts, upstreamClosesSilent).mostConnections(wordsOf(seed), holders));
     }
-    return worst;
+    return mostConnections;
 }
 
-// A home that was confirmed long enough to be settled.
+// A home that has been confirmed for long enough to be settled.
 ConnectionBudget settledHome(const ConnectionBudgetOptions &options)
 {
     ConnectionBudget budget(options);
@@ -268,9 +270,9 @@
 
 BOOST_AUTO_TEST_CASE(HandBackOfAnUnsettledHomeDoesNotCount)
 {
-    // Symptom: three homes' worth of connections after two quick changes of view.
-    // Sequence: A freezes, B takes over, C takes over from B, which hands back.
-    // Cause: B never knew what A holds, and C took B's word for it.
+    // A is suspended, B takes over, and C takes over from B, which hands back. B can't vouch
+    // for the connections of A; if C settled on its message, the connections of three homes
+    // would be open after two quick changes of view.
     ConnectionBudget budget(thirtyConnections());
     budget.becomeHome(start);
     budget.confirmed(start);
@@ -302,11 +304,10 @@
     BOOST_TEST((budget.shedsBy(start + 3s) == start + 12s), "a new confirmation must not put off the closing of surplus");
 }
 
-BOOST_AUTO_TEST_CASE(HomeThatDidNotRunDistrustsItsShare)
+BOOST_AUTO_TEST_CASE(SuspendedHomeLosesItsSettledShare)
 {
-    // Symptom: 53300 for observers after a host was paused.
-    // Sequence: a settled home is paused, another one settles, the first wakes up.
-    // Cause: it acted on what it knew before the pause.
+    // A settled home is suspended, another one settles, and the first resumes. If it kept its
+    // settled share, observers would be refused with SQLSTATE 53300.
     ConnectionBudget budget = settledHome(thirtyConnections());
     budget.suspended(start + 1s);
     BOOST_TEST(budget.allowance(start + 1s) == 6);
@@ -320,20 +321,19 @@
     budget.refused(4, start + 1s);
     BOOST_TEST(budget.allowance(start + 1s) == 3);
     budget.refused(1, start + 1s);
-    BOOST_TEST(budget.allowance(start + 1s) == 1, "one connection is kept, so that the home can serve at all");
+    BOOST_TEST(budget.allowance(start + 1s) == 1, "one connection must remain, so that the home can serve requests");
     BOOST_TEST(budget.allowance(start + 7s) == 6);
 }
 
-BOOST_AUTO_TEST_CASE(RefusalOfTheUpstreamCutsNothingBusy)
+BOOST_AUTO_TEST_CASE(RefusalOfTheUpstreamClosesNoBusyConnection)
 {
-    // Symptom: unknown outcomes whenever the upstream refuses a connection.
-    // Sequence: five busy connections, a sixth is refused, the allowance falls to 4.
-    // Cause: the surplus was closed at once, busy or not.
+    // With five busy connections, a sixth is refused and the allowance drops to 4. If the
+    // surplus were closed at once, each refusal would cause an unknown outcome.
     ConnectionBudget budget(thirtyConnections());
     budget.becomeHome(start);
     budget.refused(5, start);
     BOOST_REQUIRE(budget.allowance(start) == 4);
-    BOOST_TEST((budget.shedsBy(start) > start + 5s), "the allowance recovers after 5 s, before anything is cut");
+    BOOST_TEST((budget.shedsBy(start) > start + 5s), "the allowance recovers after 5 s, before any busy connection is closed");
 }
 
 BOOST_AUTO_TEST_CASE(LowerLimitLeavesBusyConnectionsTimeToEnd)
@@ -361,19 +361,17 @@
 
 BOOST_AUTO_TEST_SUITE(WarmConnections)
 
-// Symptom: in the half second after a home has moved, hardly anything is answered,
-// though the upstream is well.
-// Sequence: callers queue up while the place moves; the new home opens a connection for
-// each of them, up to its share.
-// Cause: an opening takes a slot of the upstream for longer than a statement does.
-BOOST_AUTO_TEST_CASE(AQueueAsksForNoMoreConnectionsThanSlotsCanUse)
+// Callers queue up while a home moves. If the new home opens a connection for each of them,
+// up to its share, hardly any request is answered for half a second, since opening a
+// connection takes a slot of the upstream for longer than a statement does.
+BOOST_AUTO_TEST_CASE(QueueNeedsNoMoreConnectionsThanSlots)
 {
-    const int behindAQueue = connectionsFor(ConnectionDemand{0, 40, 0, 2});
-    BOOST_TEST(behindAQueue == 2, "40 queued statements ask for " << behindAQueue << " connections to 2 slots");
+    const int withQueue = connectionsFor(ConnectionDemand{0, 40, 0, 2});
+    BOOST_TEST(withQueue == 2, "40 queued statements need " << withQueue << " connections for 2 slots");
     const int withTransactions = connectionsFor(ConnectionDemand{2, 40, 3, 2});
-    BOOST_TEST(withTransactions == 5, "open transactions keep theirs, but " << withTransactions << " are asked for");
-    BOOST_TEST(connectionsFor(ConnectionDemand{0, 1, 0, 5}) == 1, "a single statement needs one");
-    BOOST_TEST(connectionsFor(ConnectionDemand{4, 0, 0, 2}) == 4, "what runs already has its connections");
+    BOOST_TEST(withTransactions == 5, "open transactions keep their connections, but " << withTransactions << " are needed");
+    BOOST_TEST(connectionsFor(ConnectionDemand{0, 1, 0, 5}) == 1, "a single statement needs one connection");
+    BOOST_TEST(connectionsFor(ConnectionDemand{4, 0, 0, 2}) == 4, "running statements keep their connections");
 }
 
 BOOST_AUTO_TEST_CASE(StaysAboveDemandInSteadyState)
@@ -396,7 +394,7 @@
     budget.demand(4, start);
     budget.demand(0, start + 1s);
     budget.demand(0, start + 31s);
-    BOOST_TEST(budget.target(start + 31s) == 5, "the peak of the last window still counts");
+    BOOST_TEST(budget.target(start + 31s) == 5, "the peak of the previous window must still count");
     budget.demand(0, start + 62s);
     BOOST_TEST(budget.target(start + 62s) == 1);
 }
@@ -416,42 +414,45 @@
 BOOST_AUTO_TEST_CASE(AnyTwoHoldersLeaveTheControlReserveFree)
 {
     int most = 0;
-    BOOST_TEST(rc::check("two holders, any views, freezes without end: data connections <= limit - reserve", [&most] {
+    BOOST_TEST(rc::check("two holders, any views, unlimited suspensions: data connections <= limit - reserve", [&most] {
         const auto hosts = *rc::gen::inRange<std::size_t>(2, 6);
-        // One schedule in hundreds lets two hosts hold connections at once: a hundred of
-        // them never opened more than 12, which one host may have for itself.
+        // In only one of several hundred schedules do two hosts hold connections at once: a
+        // hundred schedules never opened more than 12, the share of a single host.
         const auto first = *rc::gen::arbitrary<std::uint64_t>();
-        int worst = 0;
+        int mostConnections = 0;
         for (std::uint64_t seed = first; seed < first + schedulesPerCase; ++seed) {
-            worst = std::max(worst, Zone(thirtyConnections(), hosts, false).worst(wordsOf(seed), 2));
+            mostConnections =
+                std::max(mostConnections, ZoneSimulation(thirtyConnections(), hosts, false).mostConnections(wordsOf(seed), 2));
         }
-        most = std::max(most, worst);
-        RC_ASSERT(worst <= dataConnections);
+        most = std::max(most, mostConnections);
+        RC_ASSERT(mostConnections <= dataConnections);
     }));
-    const int ofSeeds = worstOfSeeds(thirtyConnections(), 3, false, 2);
+    const int ofSeeds = mostConnectionsOfSeeds(thirtyConnections(), 3, false, 2);
     BOOST_TEST(ofSeeds <= dataConnections, ofSeeds << " data connections of " << dataConnections);
-    BOOST_TEST_MESSAGE("at most " << most << " data connections in random schedules, " << ofSeeds << " in those of seeds");
-    BOOST_TEST(most > dataConnections / 2, "no schedule opened more than " << most << " connections; none came near the limit");
+    BOOST_TEST_MESSAGE("at most " << most << " data connections in random schedules, " << ofSeeds << " in seeded ones");
+    BOOST_TEST(most > dataConnections / 2,
+               "no schedule opened more than " << most << " connections; none came close to the limit");
 }
 
 BOOST_AUTO_TEST_CASE(ThreeHoldersFitWhenMajoritiesConfirmAndSilentConnectionsAreClosed)
 {
-    const int worst = worstOfSeeds(thirtyConnections(), 3, true, 3);
-    BOOST_TEST(worst > dataConnections / 2, "no schedule opened more than " << worst << "; none came near the limit");
-    BOOST_TEST(worst <= dataConnections, worst << " data connections of " << dataConnections);
+    const int mostConnections = mostConnectionsOfSeeds(thirtyConnections(), 3, true, 3);
+    BOOST_TEST(mostConnections > dataConnections / 2,
+               "no schedule opened more than " << mostConnections << "; none came close to the limit");
+    BOOST_TEST(mostConnections <= dataConnections, mostConnections << " data connections of " << dataConnections);
 }
 
 BOOST_AUTO_TEST_CASE(ThreeHoldersStayWithinTheLimitWhenFrozenOnesKeepTheirConnections)
 {
-    // What is left of the claim when the upstream never closes silent connections:
-    // a frozen settled home, its settled successor and a newcomer use the reserve.
-    const int worst = worstOfSeeds(thirtyConnections(), 3, false, 3);
-    BOOST_TEST(worst <= 30, worst << " data connections of 30 in all");
+    // The weaker claim if the upstream never closes silent connections: a suspended settled
+    // home, its settled successor and an unsettled home may use up the control reserve.
+    const int mostConnections = mostConnectionsOfSeeds(thirtyConnections(), 3, false, 3);
+    BOOST_TEST(mostConnections <= 30, mostConnections << " data connections of 30 in all");
 }
 
-// Data connections after three hosts, each of which believes to be settled, have
-// asked for all they may: 36 of 30, out of any claim above. The upstream grants what
-// it has and refuses the rest.
+// The data connections that remain after three hosts which all count as settled have opened
+// as many as they may, 36 of 30, which the claims above exclude. The upstream accepts 30
+// connections and refuses the others.
 int openOfThreeSettledHomes(const ConnectionBudgetOptions &options)
 {
     std::vector<ConnectionBudget> homes(3, settledHome(options));
@@ -474,29 +475,30 @@
     return open[0] + open[1] + open[2];
 }
 
-BOOST_AUTO_TEST_CASE(MoreHoldersAreBroughtBackByTheUpstreamsRefusal)
+BOOST_AUTO_TEST_CASE(MoreHoldersAreReducedByRefusalsOfTheUpstream)
 {
     const int total = openOfThreeSettledHomes(thirtyConnections());
     BOOST_TEST(total <= dataConnections, total << " data connections remain after refusals");
     ConnectionBudgetOptions ignoring = thirtyConnections();
     ignoring.faults.ignoreRefusals = true;
-    BOOST_TEST(openOfThreeSettledHomes(ignoring) > dataConnections, "ignored refusals go unnoticed");
+    BOOST_TEST(openOfThreeSettledHomes(ignoring) > dataConnections, "ignored refusals are not detected");
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesEachMechanismSwitchedOff)
+BOOST_AUTO_TEST_CASE(ChecksFailWithEachMechanismDisabled)
 {
     ConnectionBudgetOptions options = thirtyConnections();
     options.faults.ignoreShares = true;
-    BOOST_TEST(worstOfSeeds(options, 3, false, 2) > dataConnections, "shares switched off go unnoticed");
+    BOOST_TEST(mostConnectionsOfSeeds(options, 3, false, 2) > dataConnections, "disabled shares are not detected");
     options.faults = {};
     options.faults.skipTakeoverShare = true;
-    BOOST_TEST(worstOfSeeds(options, 3, true, 3) > dataConnections, "a skipped takeover share goes unnoticed");
+    BOOST_TEST(mostConnectionsOfSeeds(options, 3, true, 3) > dataConnections, "a skipped takeover share is not detected");
     options.faults = {};
     options.faults.trustUnsettledHandBack = true;
-    BOOST_TEST(worstOfSeeds(options, 3, true, 3) > dataConnections, "an unsettled hand back goes unnoticed");
+    BOOST_TEST(mostConnectionsOfSeeds(options, 3, true, 3) > dataConnections, "an unsettled hand back is not detected");
     options.faults = {};
     options.faults.keepShareUnconfirmed = true;
-    BOOST_TEST(worstOfSeeds(options, 3, true, 3) > dataConnections, "a share kept without confirmation goes unnoticed");
+    BOOST_TEST(mostConnectionsOfSeeds(options, 3, true, 3) > dataConnections,
+               "a share kept without confirmation is not detected");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/connectionplan_test.cpp
+++ b/tests/core/connectionplan_test.cpp
@@ -1,4 +1,4 @@
-// Which connection of an upstream is opened or closed next.
+// The choice of the connection of an upstream to open or to close next.
 
 #define BOOST_TEST_MODULE ConnectionPlan
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,7 @@
     return ConnectionPlan(options);
 }
 
-// What became of a pool that did all that the plan says.
+// A pool that applies all steps of a plan and counts them.
 struct Pool {
     std::deque<std::pair<std::string, PooledState>> connections;
     std::size_t opened = 0;
@@ -38,7 +38,7 @@
                  TimePoint now)
     {
         for (int steps = 0;; ++steps) {
-            BOOST_TEST_REQUIRE(steps < 1000, "the plan goes round in circles");
+            BOOST_TEST_REQUIRE(steps < 1000, "the plan does not terminate");
             std::vector<PooledConnection> listed;
             for (const auto &[owner, state] : connections) {
                 listed.push_back({owner, state});
@@ -66,9 +66,9 @@
     }
 };
 
-// Plays requests of skewed workspaces one after the other and counts those that had to
-// wait for an opening, as a part of all.
-double partThatOpens(EvictionPolicy eviction, std::size_t allowance, int owners, double skew)
+// Runs sequential requests with a Zipf distribution over workspaces. Returns the fraction
+// that had to wait for a new connection.
+double missRatio(EvictionPolicy eviction, std::size_t allowance, int owners, double skew)
 {
     ConnectionPlan plan = planWith(eviction);
     Pool pool;
@@ -94,7 +94,7 @@
             spare = std::ranges::find(pool.connections, std::pair(owner, PooledState::Spare));
             BOOST_TEST_REQUIRE((spare != pool.connections.end()), "a request got no connection");
         }
-        // Used last, so it goes to the end.
+        // The most recently used connection is the last in the list.
         std::rotate(spare, spare + 1, pool.connections.end());
         BOOST_TEST_REQUIRE(pool.connections.size() <= allowance);
     }
@@ -115,7 +115,7 @@
     BOOST_TEST(pool.closed == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(MakeRoomOnlyWithConnectionsThatNobodyUses)
+BOOST_AUTO_TEST_CASE(CloseOnlySpareConnections)
 {
     const ConnectionPlan plan = planWith(EvictionPolicy::LeastRecent);
     Pool pool;
@@ -130,7 +130,7 @@
     BOOST_TEST(busy.connections.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(KeepThoseOfOwnersThatAskOften)
+BOOST_AUTO_TEST_CASE(KeepConnectionsOfFrequentOwners)
 {
     ConnectionPlan plan = planWith(EvictionPolicy::LowestRate);
     for (int i = 0; i < 50; ++i) {
@@ -143,7 +143,7 @@
     BOOST_TEST((pool.connections.front().first == "often"));
 }
 
-BOOST_AUTO_TEST_CASE(OpenAheadOnFreeSlotsForThoseThatAskOften)
+BOOST_AUTO_TEST_CASE(OpenAheadForFrequentOwnersOnFreeSlots)
 {
     ConnectionPlan plan = planWith(EvictionPolicy::LowestRate);
     for (int i = 0; i < 50; ++i) {
@@ -152,7 +152,7 @@
     plan.asked("once", begin);
     Pool pool;
     pool.balance(plan, {}, {4, 4, 0}, begin + milliseconds(500));
-    BOOST_TEST(pool.opened == 0U, "an opening took a slot that statements use");
+    BOOST_TEST(pool.opened == 0U, "a connection was opened without a free slot");
     pool.balance(plan, {}, {4, 4, 2}, begin + milliseconds(500));
     BOOST_TEST(pool.opened == 1U);
     BOOST_TEST((pool.connections.front().first == "often"));
@@ -169,7 +169,7 @@
     BOOST_TEST(pool.connections.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(NeverPassTheAllowanceAndEndAlways)
+BOOST_AUTO_TEST_CASE(StayWithinTheAllowanceAndTerminate)
 {
     rc::check("any pool is brought within its limits", [] {
         ConnectionPlan plan = planWith(*rc::gen::element(EvictionPolicy::LeastRecent, EvictionPolicy::LowestRate));
@@ -194,7 +194,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(RememberABoundedNumberOfOwners)
+BOOST_AUTO_TEST_CASE(KeepABoundedNumberOfOwners)
 {
     ConnectionPlanOptions options;
     options.perOwner = true;
@@ -210,14 +210,15 @@
 
 BOOST_AUTO_TEST_CASE(OpenLessOftenByRateThanByLastUse)
 {
-    // 18 connections, requests 16 ms apart; with even traffic no choice is better.
+    // 18 connections, requests 16 ms apart. With uniform traffic (skew 0) neither policy is
+    // better.
     for (const int owners : {12, 36, 76}) {
         for (const double skew : {0.0, 1.0}) {
-            const double byUse = partThatOpens(EvictionPolicy::LeastRecent, 18, owners, skew);
-            const double byRate = partThatOpens(EvictionPolicy::LowestRate, 18, owners, skew);
-            BOOST_TEST_MESSAGE(owners << " workspaces, skew " << skew << ": " << byUse << " by last use, " << byRate
+            const double byLastUse = missRatio(EvictionPolicy::LeastRecent, 18, owners, skew);
+            const double byRate = missRatio(EvictionPolicy::LowestRate, 18, owners, skew);
+            BOOST_TEST_MESSAGE(owners << " workspaces, skew " << skew << ": " << byLastUse << " by last use, " << byRate
                                       << " by rate");
-            BOOST_TEST(byRate <= byUse + 0.02);
+            BOOST_TEST(byRate <= byLastUse + 0.02);
         }
     }
 }
--- a/tests/core/exactslots_test.cpp
+++ b/tests/core/exactslots_test.cpp
@@ -1,5 +1,5 @@
-// The load after all hosts have started again: a standing queue before an upstream
-// whose slots are known exactly, and statements of very different length.
+// The load after a restart of all hosts: a standing queue at an upstream whose number of
+// slots is known, and statements with widely varying service times.
 
 #define BOOST_TEST_MODULE ExactSlots
 #include <boost/test/unit_test.hpp>
@@ -18,40 +18,39 @@
 constexpr int slots = 5;
 // 5 slots of 33 ms run 150 a second; this is half of it.
 constexpr milliseconds spacing{13};
-constexpr milliseconds patience{1000};
-constexpr milliseconds played{20000};
-constexpr milliseconds watchedFrom{10000};
-// Callers that waited while the hosts were away and come all at once.
-constexpr int returning = 60;
-// What a new home sees first: statements that take almost no time.
-constexpr int quickOnes = 100;
+constexpr milliseconds timeout{1000};
+constexpr milliseconds simulatedTime{20000};
+constexpr milliseconds measuredFrom{10000};
+// Callers that waited during the restart and arrive all at once.
+constexpr int returningCallers = 60;
+// The first statements at a new home take almost no time.
+constexpr int quickStatements = 100;
 
 struct Counts {
-    int asked = 0;
+    int requests = 0;
     int refused = 0;
 };
 
-// Plays the load against one policy and counts what becomes of the callers once the
-// first crowd is long gone.
-class Played
+// Runs the load with one limit policy and counts the outcomes after the initial burst.
+class LoadSimulation
 {
 public:
-    explicit Played(LimitPolicy policy) : m_scheduler(options(policy))
+    explicit LoadSimulation(LimitPolicy policy) : m_scheduler(options(policy))
     {
     }
 
     Counts run()
     {
-        for (int i = 0; i < returning; ++i) {
-            ask();
+        for (int i = 0; i < returningCallers; ++i) {
+            enqueue();
         }
-        for (TimePoint next = m_now; m_now < start() + played; next += spacing) {
+        for (TimePoint next = m_now; m_now < start() + simulatedTime; next += spacing) {
             while (!m_running.empty() && m_running.top().first <= next) {
                 finishOne();
             }
             m_now = next;
-            take(m_scheduler.expire(m_now));
-            ask();
+            applyActions(m_scheduler.expire(m_now));
+            enqueue();
         }
         return m_outcome;
     }
@@ -67,23 +66,23 @@
         SlotSchedulerOptions options;
         options.slots = slots;
         options.limitPolicy = policy;
-        options.classes = {ClassSpec{"all", 0, patience, 0}};
+        options.classes = {ClassSpec{"all", 0, timeout, 0}};
         return options;
     }
 
-    void ask()
+    void enqueue()
     {
         StatementTicket ticket;
         ticket.id = ++m_lastId;
         ticket.className = "all";
-        ticket.deadline = m_now + patience;
+        ticket.deadline = m_now + timeout;
         ticket.kind = StatementKind::Read;
-        m_outcome.asked += watched() ? 1 : 0;
+        m_outcome.requests += isMeasured() ? 1 : 0;
         const Admission admission = m_scheduler.enqueue(ticket, m_now);
         if (admission.state == AdmissionState::Admitted) {
             begin(ticket.id);
         } else if (admission.state == AdmissionState::Refused) {
-            m_outcome.refused += watched() ? 1 : 0;
+            m_outcome.refused += isMeasured() ? 1 : 0;
         }
     }
 
@@ -92,35 +91,35 @@
         const auto [endsAt, id] = m_running.top();
         m_running.pop();
         m_now = endsAt;
-        take(m_scheduler.finished(id, m_now, m_durations.at(id)));
+        applyActions(m_scheduler.finished(id, m_now, m_durations.at(id)));
     }
 
-    void take(const SlotActions &actions)
+    void applyActions(const SlotActions &actions)
     {
         for (const std::uint64_t id : actions.admitted) {
             begin(id);
         }
-        m_outcome.refused += watched() ? static_cast<int>(actions.refused.size()) : 0;
+        m_outcome.refused += isMeasured() ? static_cast<int>(actions.refused.size()) : 0;
     }
 
     void begin(std::uint64_t id)
     {
-        const bool quick = ++m_begun <= quickOnes;
-        const auto duration = quick ? std::chrono::nanoseconds(milliseconds(2)) : drawn();
+        const bool quick = ++m_begun <= quickStatements;
+        const auto duration = quick ? std::chrono::nanoseconds(milliseconds(2)) : randomDuration();
         m_durations[id] = duration;
         m_running.emplace(m_now + std::chrono::duration_cast<Clock::duration>(duration), id);
     }
 
-    // Around 33 ms, as unevenly as real statements.
-    std::chrono::nanoseconds drawn()
+    // Log-normally distributed with a mean of about 33 ms.
+    std::chrono::nanoseconds randomDuration()
     {
         std::lognormal_distribution<double> draw(3.25, 0.7);
         return std::chrono::nanoseconds(static_cast<std::int64_t>(draw(m_random) * 1e6));
     }
 
-    bool watched() const
+    bool isMeasured() const
     {
-        return m_now >= start() + watchedFrom;
+        return m_now >= start() + measuredFrom;
     }
 
     using Ending = std::pair<TimePoint, std::uint64_t>;
@@ -137,22 +136,21 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(SlotsThatAreExact)
+BOOST_AUTO_TEST_SUITE(FixedLimit)
 
-BOOST_AUTO_TEST_CASE(ServeHalfOfTheirLoadWithoutARefusal)
+BOOST_AUTO_TEST_CASE(ServesHalfOfTheCapacityWithoutRefusals)
 {
-    // Symptom: one home of three refuses a seventh of its callers for good, at half of the
-    // load that its upstream carries.
-    // Sequence: all hosts start again; a new home sees quick statements first and a crowd
-    // of returning callers; usual statements then look slow, and the limit falls.
-    // Cause: the limit followed a latency that says nothing about the upstream.
-    const Counts fixed = Played(LimitPolicy::Fixed).run();
-    const Counts learnt = Played(LimitPolicy::Gradient).run();
-    BOOST_TEST_MESSAGE("refused of " << fixed.asked << ": " << fixed.refused << " with the upstream's own slots, "
-                                     << learnt.refused << " of " << learnt.asked << " with a learnt limit");
-    BOOST_TEST(fixed.asked > 500);
-    BOOST_TEST(learnt.refused > 0, "the load no longer tells the two apart; look for one that does");
-    BOOST_TEST(fixed.refused == 0, fixed.refused << " of " << fixed.asked << " callers were refused at half load");
+    // With an adaptive limit, one home of three permanently refused a seventh of its callers
+    // at half the capacity of its upstream: after a restart it got short statements first
+    // and a burst of returning callers, so ordinary statements looked slow and the limit
+    // fell, although the latency said nothing about the upstream.
+    const Counts fixed = LoadSimulation(LimitPolicy::Fixed).run();
+    const Counts adaptive = LoadSimulation(LimitPolicy::Gradient).run();
+    BOOST_TEST_MESSAGE("refused of " << fixed.requests << ": " << fixed.refused << " with the fixed slots, " << adaptive.refused
+                                     << " of " << adaptive.requests << " with an adaptive limit");
+    BOOST_TEST(fixed.requests > 500);
+    BOOST_TEST(adaptive.refused > 0, "the load no longer separates the two policies; the test needs one that does");
+    BOOST_TEST(fixed.refused == 0, fixed.refused << " of " << fixed.requests << " callers were refused at half the capacity");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/overload_test.cpp
+++ b/tests/core/overload_test.cpp
@@ -1,5 +1,6 @@
-// The scheduler in the model of an overloaded upstream, against the naive queue.
-// Figures are of model time with a fixed seed, so they are the same in each run.
+// The scheduler in a model of an overloaded upstream, compared with a FIFO queue. The
+// model runs in simulated time with a fixed seed, so its figures are reproducible. Desks
+// are a class of high priority with a reservation, parents one without.
 
 #define BOOST_TEST_MODULE Overload
 #include <boost/test/unit_test.hpp>
@@ -36,7 +37,7 @@
         const ModelResult busy = runScheduled(shortModel(slots, 5.0), schedulerOptions(slots));
         BOOST_TEST(p99(busy, "desks") <= 2 * quiet,
                    slots << " slots: desks' p99 rose from " << quiet << " to " << p99(busy, "desks")
-                         << " ms; look at reservations");
+                         << " ms; check the reservations");
         BOOST_TEST(busy.classes.at("desks").refusals == 0);
     }
 }
@@ -54,11 +55,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(RefusalsComeAtOnce)
+BOOST_AUTO_TEST_CASE(RefusalsAreImmediate)
 {
-    // Symptom: callers hear "not run" only when their timeout is nearly over.
-    // Sequence: three times the capacity arrives for long.
-    // Cause: more is queued than can be answered in time.
+    // If more is queued than can be answered in time, a long overload of three times the
+    // capacity refuses callers only shortly before the end of their timeout.
     for (const double load : {1.5, 3.0, 5.0}) {
         const ModelResult result = runScheduled(shortModel(5, load), schedulerOptions(5));
         const auto &parents = result.classes.at("parents");
@@ -69,11 +69,11 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(StormAfterAPauseEndsByItself)
+BOOST_AUTO_TEST_CASE(RetryStormAfterAPauseEnds)
 {
-    // Symptom: after a failover the upstream is busy for good and answers nobody.
-    // Sequence: writes pause for 2.5 s, callers time out and ask again every 100 ms.
-    // Cause: the upstream works through asks that nobody waits for any more.
+    // Writes pause for 2.5 s, and callers time out and retry every 100 ms. With a FIFO queue
+    // the upstream then spends its time on requests that no caller waits for any more, and
+    // does not recover.
     ModelOptions model = shortModel(5, 0.7);
     model.honoursRetryAfter = false;
     model.asks = 10;
@@ -82,21 +82,21 @@
     const ModelResult scheduled = runScheduled(model, schedulerOptions(5));
     const ModelResult naive = runFifo(model, 5);
     BOOST_TEST(scheduled.amplification < 1.1, scheduled.amplification << " sends for each answer");
-    BOOST_TEST(naive.amplification > 1.1, "the naive queue shows no storm, so this model proves nothing");
+    BOOST_TEST(naive.amplification > 1.1, "the FIFO queue shows no retry storm, so this model does not exercise the claim");
     const auto &parents = scheduled.classes.at("parents");
     const double served = static_cast<double>(parents.answered) / static_cast<double>(parents.requests);
     BOOST_TEST(served > 0.95, "only " << served << " of the parents' requests were answered in the end");
 }
 
-BOOST_AUTO_TEST_CASE(NaiveQueueCollapsesWhereTheSchedulerDoesNot)
+BOOST_AUTO_TEST_CASE(FifoQueueCollapsesWhereTheSchedulerDoesNot)
 {
     const ModelResult naive = runFifo(shortModel(5, 3.0), 5);
     const ModelResult scheduled = runScheduled(shortModel(5, 3.0), schedulerOptions(5));
-    BOOST_TEST(naive.goodput < 0.2, "first come, first served reaches " << naive.goodput);
+    BOOST_TEST(naive.goodput < 0.2, "goodput of the FIFO queue is " << naive.goodput);
     BOOST_TEST(scheduled.goodput > naive.goodput);
 }
 
-BOOST_AUTO_TEST_CASE(DesksNoticeIgnoredReservationsUnderLongStatements)
+BOOST_AUTO_TEST_CASE(IgnoredReservationsRaiseTheLatencyOfDesks)
 {
     ModelOptions model = shortModel(2, 1.0);
     model.classes[1].meanService = 150ms;
@@ -107,7 +107,7 @@
     BOOST_TEST(kept * 2 < ignored, "reservations change the desks' p99 only from " << ignored << " to " << kept << " ms");
 }
 
-BOOST_AUTO_TEST_CASE(ModelNoticesIgnoredDeadlines)
+BOOST_AUTO_TEST_CASE(IgnoredDeadlinesReduceGoodput)
 {
     SlotSchedulerOptions ignoring = schedulerOptions(5);
     ignoring.faults.ignoreDeadlines = true;
--- a/tests/core/requestledger_test.cpp
+++ b/tests/core/requestledger_test.cpp
@@ -1,5 +1,6 @@
-// That each request gets exactly one final answer and a charge runs at most once,
-// whatever breaks, against a naive version that sends again on any error.
+// Each request gets exactly one final answer and a charge, that is a write that is not
+// idempotent, runs at most once under any faults, unlike with a naive ledger that retries
+// after every error.
 
 #define BOOST_TEST_MODULE RequestLedger
 #include <boost/test/unit_test.hpp>
@@ -36,12 +37,12 @@
     return result;
 }
 
-// An owner of the ledger with a world that loses, delays, repeats and reorders:
-// hops are connections with one answer outstanding, and run what reaches them.
-class World
+// Simulates the owner of a ledger and hops that lose, delay, repeat and reorder messages.
+// Each hop is a connection with one answer outstanding, which runs what it receives.
+class LedgerSimulation
 {
 public:
-    explicit World(const LedgerFaults &faults) : m_ledger(faults)
+    explicit LedgerSimulation(const LedgerFaults &faults) : m_ledger(faults)
     {
     }
 
@@ -63,8 +64,8 @@
         RequestFacts facts;
         int executions = 0;
         int finalAnswers = 0;
-        // The caller was told that nothing ran.
-        bool toldNotRun = false;
+        // The caller got an error that reports that the request did not run.
+        bool reportedNotRun = false;
     };
 
     struct Hop {
@@ -109,7 +110,7 @@
         case 14:
             return confirmOne(detail);
         default:
-            return sayNotRun(detail);
+            return reportNotRun(detail);
         }
     }
 
@@ -195,21 +196,21 @@
         Request &request = m_requests[hop.request];
         const bool mayRepeat = request.facts.idempotent || request.facts.kind == StatementKind::Read;
         if (++request.executions > 1 && !mayRepeat) {
-            fail("request " + std::to_string(hop.request) + " ran twice: a parent is charged twice");
+            fail("request " + std::to_string(hop.request) + " ran twice");
         }
-        if (request.toldNotRun) {
-            fail("request " + std::to_string(hop.request) + " ran after its caller heard \"not run\"");
+        if (request.reportedNotRun) {
+            fail("request " + std::to_string(hop.request) + " ran after it was reported as \"not run\"");
         }
     }
 
-    // An answer of a hop, or an earlier one once more.
+    // Delivers the answer of a hop, or repeats an earlier one.
     void deliver(std::uint32_t detail, bool fresh)
     {
         if (!fresh && !m_delivered.empty()) {
             const Reply old = m_delivered[detail % m_delivered.size()];
             const LedgerAction action = m_ledger.answered(old.attempt, false);
             if (action.kind != Kind::Drop) {
-                fail("a late or repeated answer was taken");
+                fail("a late or repeated answer was accepted");
             }
             return;
         }
@@ -223,7 +224,7 @@
         m_outstandingAnswers.erase(hopId);
         m_delivered.push_back({hop.attempt, hop.request});
         const bool needsConfirmation = m_requests[hop.request].facts.kind == StatementKind::Commit;
-        take(m_ledger.answered(hop.attempt, needsConfirmation), hop.request);
+        applyAction(m_ledger.answered(hop.attempt, needsConfirmation), hop.request);
     }
 
     void breakHop(std::uint32_t detail)
@@ -234,7 +235,7 @@
         const HopId id = std::next(m_hops.begin(), static_cast<std::ptrdiff_t>(detail % m_hops.size()))->first;
         closeHop(id);
         for (const LedgerAction &action : m_ledger.hopBroken(id, 5ms, m_now)) {
-            take(action, action.id);
+            applyAction(action, action.id);
         }
     }
 
@@ -242,7 +243,7 @@
     {
         Hop &hop = m_hops[id];
         if (hop.isOutstanding && hop.hasRun && !hop.isBroken) {
-            // Its answer may still turn up late.
+            // Its answer may still arrive late.
             m_delivered.push_back({hop.attempt, hop.request});
         }
         hop.isBroken = true;
@@ -261,12 +262,12 @@
             fail("a request that was given up has no final answer");
         }
         if (!action.hopToClose) {
-            // By the ledger's word nothing is outstanding for it.
+            // According to the ledger, no answer is outstanding for it.
             for (auto &[hopId, hop] : m_hops) {
                 hop.isOutstanding = hop.isOutstanding && hop.request != id;
             }
         }
-        take(action, id);
+        applyAction(action, id);
     }
 
     void refuse(std::uint32_t detail)
@@ -274,7 +275,7 @@
         const auto ids = openIds(RequestState::Queued);
         if (!ids.empty()) {
             const std::uint64_t id = ids[detail % ids.size()];
-            take(m_ledger.refuse(id, busy), id);
+            applyAction(m_ledger.refuse(id, busy), id);
         }
     }
 
@@ -283,12 +284,12 @@
         const auto ids = openIds(RequestState::Answered);
         if (!ids.empty()) {
             const std::uint64_t id = ids[detail % ids.size()];
-            take(detail % 3 == 0 ? m_ledger.unconfirmed(id) : m_ledger.confirmed(id), id);
+            applyAction(detail % 3 == 0 ? m_ledger.unconfirmed(id) : m_ledger.confirmed(id), id);
         }
     }
 
-    // The other side refuses what it has not run.
-    void sayNotRun(std::uint32_t detail)
+    // The other side refuses a request that it has not run.
+    void reportNotRun(std::uint32_t detail)
     {
         const auto ids = outstanding(false);
         if (ids.empty()) {
@@ -298,10 +299,10 @@
         Hop &hop = m_hops[hopId];
         hop.isOutstanding = false;
         m_outstandingAnswers.erase(hopId);
-        take(m_ledger.notRun(hop.attempt, busy, detail % 2 == 0, m_now), hop.request);
+        applyAction(m_ledger.notRun(hop.attempt, busy, detail % 2 == 0, m_now), hop.request);
     }
 
-    void take(const LedgerAction &action, std::uint64_t id)
+    void applyAction(const LedgerAction &action, std::uint64_t id)
     {
         if (action.hopToClose) {
             closeHop(*action.hopToClose);
@@ -317,12 +318,12 @@
             fail("request " + std::to_string(action.id) + " got a second final answer");
         }
         if (action.kind == Kind::Deliver && request.executions == 0) {
-            fail("an answer was delivered for what never ran");
+            fail("an answer was delivered for a request that never ran");
         }
         if (action.kind == Kind::Fail && outcomeOf(action.error->kind) == Outcome::NotRun) {
-            request.toldNotRun = true;
+            request.reportedNotRun = true;
             if (request.executions > 0) {
-                fail("request " + std::to_string(action.id) + " ran, and its caller heard \"not run\"");
+                fail("request " + std::to_string(action.id) + " ran and was reported as \"not run\"");
             }
         }
     }
@@ -330,7 +331,7 @@
     void finish()
     {
         for (const std::uint64_t id : m_ledger.overdue(TimePoint::max())) {
-            take(m_ledger.giveUp(id, late), id);
+            applyAction(m_ledger.giveUp(id, late), id);
         }
         for (const auto &[id, request] : m_requests) {
             if (request.finalAnswers != 1) {
@@ -356,7 +357,7 @@
     HopId m_chosenHop = 0;
     std::map<std::uint64_t, Request> m_requests;
     std::map<HopId, Hop> m_hops;
-    // Hops whose answer has neither come nor been ruled out by closing them.
+    // Hops with an outstanding answer that were not closed.
     std::set<HopId> m_outstandingAnswers;
     std::vector<Reply> m_delivered;
     std::optional<std::string> m_violation;
@@ -368,7 +369,7 @@
         std::mt19937_64 random(seed);
         std::vector<std::uint32_t> words(300);
         std::generate(words.begin(), words.end(), [&random] { return static_cast<std::uint32_t>(random()); });
-        if (auto violation = World(faults).run(words)) {
+        if (auto violation = LedgerSimulation(faults).run(words)) {
             return violation;
         }
     }
@@ -411,10 +412,8 @@
 
 BOOST_AUTO_TEST_CASE(BrokenConnectionLeavesAWriteUnknownAndAReadToRetry)
 {
-    // Symptom: a parent is charged twice.
-    // Sequence: a charge leaves, the connection breaks before the answer, the charge
-    // is sent again; the first one had run.
-    // Cause: no answer was taken for not run.
+    // A charge is sent and the connection breaks before the answer. If the missing answer
+    // is taken as "not run", the charge is retried and runs twice.
     RequestLedger ledger;
     (void)ledger.open(facts(1));
     (void)ledger.open(facts(2, StatementKind::Read));
@@ -434,19 +433,19 @@
     BOOST_TEST((actions[1].kind == Kind::Retry));
     BOOST_TEST((actions[2].kind == Kind::Retry));
     BOOST_TEST((actions[3].kind == Kind::Fail && actions[3].error->kind == ErrorKind::UnknownOutcome));
-    BOOST_TEST((ledger.state(5) == RequestState::Queued), "what never left is not touched by the break");
+    BOOST_TEST((ledger.state(5) == RequestState::Queued), "a request that was not sent is not affected by the broken hop");
     const LedgerAction refused = ledger.refuse(5, busy);
     BOOST_TEST((refused.state == RequestState::Refused));
     BOOST_TEST((refused.error->retryAfter == 5ms));
 }
 
-BOOST_AUTO_TEST_CASE(UnsentRequestIsNotRunWhenItsWayIsGone)
+BOOST_AUTO_TEST_CASE(UnsentRequestIsNotRunWhenItsHopIsGone)
 {
     RequestLedger ledger;
     (void)ledger.open(facts(1));
     const auto attempt = ledger.send(1, 7);
     const LedgerAction again = ledger.notSent(*attempt, 20ms, start);
-    BOOST_TEST((again.kind == Kind::Retry), "nothing of it was written, so even a charge may go another way");
+    BOOST_TEST((again.kind == Kind::Retry), "no byte of it was written, so even a charge may be retried");
     const auto second = ledger.send(1, 8);
     const LedgerAction action = ledger.notSent(*second, 20ms, start + 2s);
     BOOST_TEST((action.kind == Kind::Fail));
@@ -456,9 +455,9 @@
 
 BOOST_AUTO_TEST_CASE(LateAnswerOfAnEarlierAttemptIsDropped)
 {
-    // Symptom: a caller gets the answer to somebody else's request, or two answers.
-    // Sequence: a read is retried over another hop, then the first hop answers.
-    // Cause: answers were matched by request, not by attempt.
+    // A read is retried over another hop, then the first hop answers. If answers are matched
+    // by request instead of by attempt, the caller gets two answers or that of another
+    // request.
     RequestLedger ledger;
     (void)ledger.open(facts(1, StatementKind::Read));
     const auto first = ledger.send(1, 7);
@@ -468,11 +467,10 @@
     BOOST_TEST((ledger.answered(*second, false).kind == Kind::Deliver));
 }
 
-BOOST_AUTO_TEST_CASE(RefusalAfterALostAttemptIsNotCalledNotRun)
+BOOST_AUTO_TEST_CASE(RefusalAfterALostAttemptIsAnUnknownOutcome)
 {
-    // Symptom: "not run" for a request that did run.
-    // Sequence: an idempotent write is lost, sent again, and refused elsewhere.
-    // Cause: the refusal spoke for the second attempt only.
+    // An idempotent write is lost, retried and refused elsewhere. The refusal covers the
+    // second attempt only, and the first one may have run.
     RequestLedger ledger;
     RequestFacts idempotent = facts(1);
     idempotent.idempotent = true;
@@ -486,7 +484,7 @@
     BOOST_TEST((action.error->retryAfter == 5ms));
 }
 
-BOOST_AUTO_TEST_CASE(GivenUpRequestIsAnsweredAtOnceAndCostsItsConnection)
+BOOST_AUTO_TEST_CASE(GivenUpRequestIsAnsweredAtOnceAndItsHopIsClosed)
 {
     RequestLedger ledger;
     (void)ledger.open(facts(1));
@@ -533,12 +531,12 @@
 
 BOOST_AUTO_TEST_SUITE(Invariants)
 
-BOOST_AUTO_TEST_CASE(OneFinalAnswerEachAndNoChargeTwice)
+BOOST_AUTO_TEST_CASE(OneFinalAnswerEachAndNoChargeRunsTwice)
 {
     BOOST_TEST(rc::check("one final answer, at most one run, truthful \"not run\", no shared connection", [] {
         const auto words =
             *rc::gen::resize(500, rc::gen::container<std::vector<std::uint32_t>>(rc::gen::arbitrary<std::uint32_t>()));
-        RC_ASSERT(World({}).run(words).value_or("") == "");
+        RC_ASSERT(LedgerSimulation({}).run(words).value_or("") == "");
     }));
     const auto violation = searchViolation({});
     BOOST_TEST(!violation, violation.value_or(""));
@@ -553,14 +551,14 @@
     BOOST_TEST(violation->find("ran twice") != std::string::npos, *violation);
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesEachMechanismSwitchedOff)
+BOOST_AUTO_TEST_CASE(ChecksFailWithEachMechanismDisabled)
 {
     LedgerFaults faults;
     faults.acceptAnyAttempt = true;
-    BOOST_TEST(searchViolation(faults).has_value(), "answers of earlier attempts go unnoticed");
+    BOOST_TEST(searchViolation(faults).has_value(), "accepted answers of earlier attempts are not detected");
     faults = {};
     faults.keepConnection = true;
-    BOOST_TEST(searchViolation(faults).has_value(), "a connection with an outstanding answer may be reused unnoticed");
+    BOOST_TEST(searchViolation(faults).has_value(), "reuse of a connection with an outstanding answer is not detected");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/requestpath.h
+++ b/tests/core/requestpath.h
@@ -1,11 +1,11 @@
-// The whole way of a request, from a front over a hop and its home to an upstream
-// and back, over a seeded schedule of faults: real Router and RequestLedger; and the
-// rules of RequestRunner, PeerNetwork and UpstreamHome between them, written down
-// once more, because those parts do their own I/O.
+// Simulates requests from a front over a hop and a home to an upstream and back, under a
+// seeded schedule of faults. Uses the real Router and RequestLedger; the rules of
+// RequestRunner, PeerNetwork and UpstreamHome are reimplemented here, because these do
+// their own I/O.
 //
-// Checked at every step: a charge runs at most once; what was called "not run" never
-// ran and never will; a caller gets the answer to its own request; each request gets
-// exactly one final answer.
+// Checked at every step: a charge, that is a write that is not idempotent, runs at most
+// once; a request that is reported as "not run" never runs, before or after; a caller gets
+// the answer to its own request; each request gets exactly one final answer.
 
 #pragma once
 
@@ -26,44 +26,45 @@
 namespace egrettide::testing
 {
 
-// Switches that take one mechanism out, and the naive front.
+// Each switch disables one mechanism, so that a test can show that the checks fail
+// without it.
 struct RequestPathFaults {
-    // The front sends again whatever failed.
-    bool naiveFront = false;
-    // A link that breaks says "not run" also of what had left.
-    bool lossIsNotRun = false;
-    // The front gives refusals on without looking at earlier attempts.
-    bool trustsNotRun = false;
-    // The front takes any reply for the one that it waits for.
-    bool takesLateReplies = false;
-    // A home sends again what its connection lost.
+    // The front retries every failed request.
+    bool frontRetriesEverything = false;
+    // A broken link reports "not run" also for requests that were sent over it.
+    bool lossReportedAsNotRun = false;
+    // The front returns the refusal of the last attempt regardless of earlier ones.
+    bool acceptsLastRefusal = false;
+    // The front accepts replies to earlier attempts.
+    bool acceptsLateReplies = false;
+    // A home retries requests whose connection broke.
     bool homeResends = false;
     // A planned stop ends the home's process at once.
     bool stopsAtOnce = false;
 };
 
-// What a schedule holds.
-enum class RequestPathTrouble {
-    // Lost and late messages, broken connections, deaths, changes of primary.
-    Anything,
-    // Planned stops of homes, one after another, and nothing else.
+// The faults in a schedule.
+enum class RequestPathScenario {
+    // Lost and late messages, broken connections, crashes, changes of primary.
+    AllFaults,
+    // Only planned stops of homes.
     PlannedStops,
 };
 
-// How often the schedule reached what it is about.
+// How often the relevant events occurred in a schedule.
 struct RequestPathCounts {
     std::size_t requests = 0;
     std::size_t runs = 0;
     std::size_t answered = 0;
     std::size_t notRun = 0;
     std::size_t unknown = 0;
-    std::size_t chargesSentAgain = 0;
-    std::size_t harmlessSentAgain = 0;
+    std::size_t chargesRetried = 0;
+    std::size_t repeatableRetried = 0;
     std::size_t lateReplies = 0;
     std::size_t lostLinks = 0;
-    std::size_t ranAfterItsLinkWasLost = 0;
+    std::size_t ranAfterLinkLoss = 0;
     std::size_t brokenConnections = 0;
-    std::size_t homeDeaths = 0;
+    std::size_t homeCrashes = 0;
     std::size_t primaryChanges = 0;
     std::size_t misleadingRefusals = 0;
     std::size_t plannedStops = 0;
@@ -77,13 +78,13 @@
         answered += other.answered;
         notRun += other.notRun;
         unknown += other.unknown;
-        chargesSentAgain += other.chargesSentAgain;
-        harmlessSentAgain += other.harmlessSentAgain;
+        chargesRetried += other.chargesRetried;
+        repeatableRetried += other.repeatableRetried;
         lateReplies += other.lateReplies;
         lostLinks += other.lostLinks;
-        ranAfterItsLinkWasLost += other.ranAfterItsLinkWasLost;
+        ranAfterLinkLoss += other.ranAfterLinkLoss;
         brokenConnections += other.brokenConnections;
-        homeDeaths += other.homeDeaths;
+        homeCrashes += other.homeCrashes;
         primaryChanges += other.primaryChanges;
         misleadingRefusals += other.misleadingRefusals;
         plannedStops += other.plannedStops;
@@ -95,9 +96,9 @@
 class RequestPath
 {
 public:
-    RequestPath(std::uint64_t seed, RequestPathFaults faults, RequestPathTrouble trouble = RequestPathTrouble::Anything)
+    RequestPath(std::uint64_t seed, RequestPathFaults faults, RequestPathScenario scenario = RequestPathScenario::AllFaults)
         : m_faults(faults)
-        , m_trouble(trouble)
+        , m_scenario(scenario)
         , m_random(seed * 0x9E3779B97F4A7C15ULL + 1)
         , m_router(RouterOptions{.zone = "east"})
     {
@@ -113,14 +114,14 @@
         m_router.learn(hint(), "a", m_now);
     }
 
-    // Runs the schedule and gives the first violation, empty when there is none.
+    // Runs the schedule and returns the first violation, or an empty string.
     std::string run()
     {
         for (int i = 0; i < requestCount; ++i) {
-            at(upTo(600), [this] { start(); });
+            at(randomUpTo(600), [this] { start(); });
         }
         for (int i = 0; i < faultCount; ++i) {
-            at(upTo(900), [this] { oneFault(); });
+            at(randomUpTo(900), [this] { injectFault(); });
         }
         while (!m_events.empty() && m_violation.empty()) {
             const Event event = m_events.top();
@@ -129,8 +130,8 @@
             event.action();
         }
         for (const auto &[id, request] : m_requests) {
-            if (request.finals != 1) {
-                fail("request " + std::to_string(id) + " got " + std::to_string(request.finals) + " final answers");
+            if (request.finalAnswers != 1) {
+                fail("request " + std::to_string(id) + " got " + std::to_string(request.finalAnswers) + " final answers");
             }
         }
         return m_violation;
@@ -145,9 +146,10 @@
     static constexpr std::array<const char *, 3> names{"a", "b", "c"};
     static constexpr int requestCount = 30;
     static constexpr int faultCount = 12;
-    // Short enough that accidents use it up; planned stops alone must not.
+    // Short enough that some requests exceed it under faults; with planned stops alone none
+    // may, so these use a longer one.
     static constexpr milliseconds timeout{400};
-    static constexpr milliseconds patientTimeout{4000};
+    static constexpr milliseconds plannedStopTimeout{4000};
     static constexpr milliseconds grace{100};
     static constexpr milliseconds primaryPoll{30};
 
@@ -162,20 +164,20 @@
         }
     };
 
-    // A caller's request as the front has it.
+    // The front's state of a caller's request.
     struct Request {
         StatementRequest about;
         RouteAttempts attempts;
-        // The execution whose reply is awaited, 0 for none.
+        // The execution whose reply is outstanding, 0 if none.
         std::uint64_t outstanding = 0;
         std::string upstream;
         int sends = 0;
         int runs = 0;
-        int finals = 0;
-        bool toldNotRun = false;
+        int finalAnswers = 0;
+        bool reportedNotRun = false;
     };
 
-    // One execution at a home.
+    // One attempt of a request at a home.
     struct Execution {
         std::uint64_t request = 0;
         std::string upstream;
@@ -184,35 +186,35 @@
         AttemptId attempt = 0;
         HopId connection = 0;
         bool linkLost = false;
-        bool left = false;
+        bool wasSent = false;
     };
 
-    // The home of one upstream: the process that is home now, and those that drain.
+    // The home of one upstream: the current process, and former ones that drain.
     struct Home {
         std::map<std::uint64_t, std::unique_ptr<RequestLedger>> ledgers;
         std::uint64_t process = 0;
     };
 
-    std::uint64_t below(std::uint64_t bound)
+    std::uint64_t randomBelow(std::uint64_t bound)
     {
         return std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(m_random);
     }
 
-    milliseconds upTo(std::uint64_t most)
+    milliseconds randomUpTo(std::uint64_t most)
     {
-        return milliseconds{below(most + 1)};
+        return milliseconds{randomBelow(most + 1)};
     }
 
-    // True once in so many times, where the schedule holds accidents at all.
-    bool happens(std::uint64_t oneIn)
+    // True with probability 1/oneIn; always false in schedules of planned stops only.
+    bool randomFault(std::uint64_t oneIn)
     {
-        return m_trouble == RequestPathTrouble::Anything && below(oneIn) == 0;
+        return m_scenario == RequestPathScenario::AllFaults && randomBelow(oneIn) == 0;
     }
 
-    // Mostly quick, now and then slower than any deadline.
-    milliseconds travel()
+    // Usually short, sometimes longer than the timeout.
+    milliseconds messageDelay()
     {
-        return milliseconds{1} + upTo(happens(15) ? 700 : 15);
+        return milliseconds{1} + randomUpTo(randomFault(15) ? 700 : 15);
     }
 
     void at(milliseconds delay, std::function<void()> action)
@@ -220,21 +222,21 @@
         m_events.push(Event{m_now + delay, ++m_order, std::move(action)});
     }
 
-    static bool isHarmless(const StatementRequest &about)
+    static bool isRepeatable(const StatementRequest &about)
     {
         return about.idempotent || about.kind == StatementKind::Read;
     }
 
-    // ---- The front: RequestRunner's rules
+    // ---- The front, by the rules of RequestRunner
 
     void start()
     {
         const std::uint64_t id = ++m_lastRequest;
         Request request;
         request.about.database = "booking";
-        request.about.kind = below(4) == 0 ? StatementKind::Read : StatementKind::Write;
-        request.about.idempotent = request.about.kind == StatementKind::Write && below(3) == 0;
-        request.about.deadline = m_now + (m_trouble == RequestPathTrouble::Anything ? timeout : patientTimeout);
+        request.about.kind = randomBelow(4) == 0 ? StatementKind::Read : StatementKind::Write;
+        request.about.idempotent = request.about.kind == StatementKind::Write && randomBelow(3) == 0;
+        request.about.deadline = m_now + (m_scenario == RequestPathScenario::AllFaults ? timeout : plannedStopTimeout);
         m_requests[id] = std::move(request);
         ++m_counts.requests;
         choose(id);
@@ -257,7 +259,7 @@
     {
         Request &request = m_requests.at(id);
         if (request.sends++ > 0) {
-            (isHarmless(request.about) ? m_counts.harmlessSentAgain : m_counts.chargesSentAgain) += 1;
+            (isRepeatable(request.about) ? m_counts.repeatableRetried : m_counts.chargesRetried) += 1;
         }
         const std::uint64_t execution = ++m_lastExecution;
         request.outstanding = execution;
@@ -285,13 +287,13 @@
         Request &request = m_requests.at(id);
         if (request.outstanding != execution) {
             ++m_counts.lateReplies;
-            if (!m_faults.takesLateReplies || request.finals > 0) {
+            if (!m_faults.acceptsLateReplies || request.finalAnswers > 0) {
                 return;
             }
         }
         request.outstanding = 0;
-        if (m_faults.naiveFront && reply.error && request.sends < 4 && m_now < request.about.deadline) {
-            send(id, names[below(names.size())]);
+        if (m_faults.frontRetriesEverything && reply.error && request.sends < 4 && m_now < request.about.deadline) {
+            send(id, names[randomBelow(names.size())]);
             return;
         }
         const auto decision = m_router.afterReply(request.about, reply, request.attempts, m_now, m_random);
@@ -302,7 +304,7 @@
         StatementReply last = reply;
         const auto &instead = std::get<Finish>(decision).instead;
         m_counts.misleadingRefusals += instead ? 1 : 0;
-        if (instead && !m_faults.trustsNotRun) {
+        if (instead && !m_faults.acceptsLastRefusal) {
             last.error = instead;
         }
         waitOrFinish(id, last);
@@ -313,7 +315,7 @@
         const Request &request = m_requests.at(id);
         const bool lacksPrimary =
             reply.error && (reply.error->kind == ErrorKind::NoPrimary || reply.error->kind == ErrorKind::Moved);
-        const bool mayWait = lacksPrimary && (!reply.sent || isHarmless(request.about));
+        const bool mayWait = lacksPrimary && (!reply.sent || isRepeatable(request.about));
         if (!mayWait || m_now + primaryPoll >= request.about.deadline) {
             finish(id, reply);
             return;
@@ -327,7 +329,7 @@
     void finish(std::uint64_t id, StatementReply reply)
     {
         Request &request = m_requests.at(id);
-        ++request.finals;
+        ++request.finalAnswers;
         if (!reply.error) {
             ++m_counts.answered;
             if (reply.bytes != std::to_string(id)) {
@@ -338,36 +340,36 @@
             }
             return;
         }
-        const bool claims = outcomeOf(reply.error->kind) == Outcome::NotRun;
-        if (claims && reply.sent && request.about.kind != StatementKind::Read && !m_faults.trustsNotRun) {
+        const bool reportsNotRun = outcomeOf(reply.error->kind) == Outcome::NotRun;
+        if (reportsNotRun && reply.sent && request.about.kind != StatementKind::Read && !m_faults.acceptsLastRefusal) {
             reply.error->kind = ErrorKind::UnknownOutcome;
         }
         const bool notRun = outcomeOf(reply.error->kind) == Outcome::NotRun;
         (notRun ? m_counts.notRun : m_counts.unknown) += 1;
-        // Of a read it does not matter, since it changes nothing.
-        request.toldNotRun = notRun && request.about.kind != StatementKind::Read;
-        if (request.toldNotRun && request.runs > 0) {
-            fail("request " + std::to_string(id) + " ran, and its caller heard \"not run\"");
+        // Irrelevant for a read, which has no effect.
+        request.reportedNotRun = notRun && request.about.kind != StatementKind::Read;
+        if (request.reportedNotRun && request.runs > 0) {
+            fail("request " + std::to_string(id) + " ran and was reported as \"not run\"");
         }
     }
 
-    // ---- The hop: PeerNetwork's rules
+    // ---- The hop, by the rules of PeerNetwork
 
     void overTheHop(std::uint64_t execution)
     {
-        if (happens(12)) {
-            // Refused before a byte was written.
+        if (randomFault(12)) {
+            // The link is refused before the first byte is written.
             loseLink(execution, milliseconds{1}, false);
             return;
         }
-        if (happens(12)) {
-            // Breaks after it was written: it may have arrived.
-            loseLink(execution, travel(), true);
-            if (below(2) == 0) {
+        if (randomFault(12)) {
+            // The link breaks after the request was written, which may have arrived.
+            loseLink(execution, messageDelay(), true);
+            if (randomBelow(2) == 0) {
                 return;
             }
         }
-        at(travel(), [this, execution] { arrive(execution); });
+        at(messageDelay(), [this, execution] { arrive(execution); });
     }
 
     void loseLink(std::uint64_t execution, milliseconds delay, bool sent)
@@ -378,10 +380,11 @@
             const bool mayHaveCommitted = lost.about.kind == StatementKind::Write;
             lost.linkLost = true;
             StatementReply reply;
-            const bool admits = sent && mayHaveCommitted && !m_faults.lossIsNotRun;
-            reply.error = admits ? Error{ErrorKind::UnknownOutcome, "The request had left when its link broke.", milliseconds{0}}
-                                 : Error{ErrorKind::Moved, "The request did not run; send it again.", milliseconds{5}};
-            reply.sent = admits;
+            const bool reportsUnknown = sent && mayHaveCommitted && !m_faults.lossReportedAsNotRun;
+            reply.error = reportsUnknown
+                ? Error{ErrorKind::UnknownOutcome, "The request had been sent when its link broke.", milliseconds{0}}
+                : Error{ErrorKind::Moved, "The request did not run; send it again.", milliseconds{5}};
+            reply.sent = reportsUnknown;
             onReply(execution, reply);
         });
     }
@@ -390,10 +393,10 @@
     {
         StatementReply withHint = answer;
         withHint.hint = hint();
-        // A link keeps its order; a second copy stands for a reply that a slow front
-        // takes only after it has gone on.
-        for (std::uint64_t copies = happens(12) ? 2 : 1; copies > 0; --copies) {
-            at(travel(), [this, execution, withHint] {
+        // Links keep the order of messages. The second copy stands for a reply that a slow
+        // front processes only after its next attempt.
+        for (std::uint64_t copies = randomFault(12) ? 2 : 1; copies > 0; --copies) {
+            at(messageDelay(), [this, execution, withHint] {
                 if (!m_executions.at(execution).linkLost) {
                     onReply(execution, withHint);
                 }
@@ -401,9 +404,9 @@
         }
     }
 
-    // ---- The home: UpstreamHome's rules
+    // ---- The home, by the rules of UpstreamHome
 
-    // Null when the process that had the execution is gone.
+    // Null if the process of the execution has ended.
     RequestLedger *ledgerOf(std::uint64_t execution)
     {
         const Execution &one = m_executions.at(execution);
@@ -436,7 +439,7 @@
         }
         const milliseconds left = std::chrono::duration_cast<milliseconds>(one.about.deadline - m_now);
         at(std::max(left, milliseconds{0}), [this, execution] { giveUp(execution); });
-        at(upTo(20), [this, execution] { admit(execution); });
+        at(randomUpTo(20), [this, execution] { admit(execution); });
     }
 
     void admit(std::uint64_t execution)
@@ -447,11 +450,11 @@
         }
         Execution &one = m_executions.at(execution);
         if (one.about.kind == StatementKind::Write && one.upstream != m_primary) {
-            take(execution, ledger->refuse(execution, Error{ErrorKind::Moved, "Not the primary.", milliseconds{5}}));
+            applyAction(execution, ledger->refuse(execution, Error{ErrorKind::Moved, "Not the primary.", milliseconds{5}}));
             return;
         }
-        if (happens(15)) {
-            take(execution, ledger->refuse(execution, Error{ErrorKind::Overloaded, "No slot in time.", milliseconds{5}}));
+        if (randomFault(15)) {
+            applyAction(execution, ledger->refuse(execution, Error{ErrorKind::Overloaded, "No slot in time.", milliseconds{5}}));
             return;
         }
         toUpstream(execution);
@@ -462,15 +465,15 @@
         Execution &one = m_executions.at(execution);
         one.connection = ++m_lastConnection;
         one.attempt = ledgerOf(execution)->send(execution, one.connection).value();
-        one.left = true;
+        one.wasSent = true;
         const HopId connection = one.connection;
         const AttemptId attempt = one.attempt;
-        // A connection that breaks may still have brought the statement there.
-        if (happens(12)) {
-            at(travel(), [this, execution, connection] { breakConnection(execution, connection); });
+        // A connection that breaks may still have delivered the statement.
+        if (randomFault(12)) {
+            at(messageDelay(), [this, execution, connection] { breakConnection(execution, connection); });
         }
-        if (!happens(20)) {
-            at(travel(), [this, execution, attempt] { atUpstream(execution, attempt); });
+        if (!randomFault(20)) {
+            at(messageDelay(), [this, execution, attempt] { atUpstream(execution, attempt); });
         }
     }
 
@@ -478,30 +481,30 @@
     {
         const Execution &one = m_executions.at(execution);
         if (one.about.kind == StatementKind::Write && one.upstream != m_primary) {
-            at(travel(), [this, execution, attempt] {
+            at(messageDelay(), [this, execution, attempt] {
                 if (RequestLedger *ledger = ledgerOf(execution)) {
                     const Error fenced{ErrorKind::Moved, "The upstream takes no writes any more.", milliseconds{5}};
-                    m_executions.at(execution).left = false;
-                    take(execution, ledger->notRun(attempt, fenced, false, m_now));
+                    m_executions.at(execution).wasSent = false;
+                    applyAction(execution, ledger->notRun(attempt, fenced, false, m_now));
                 }
             });
             return;
         }
-        runs(execution);
-        at(travel(), [this, execution, attempt] { onAnswer(execution, attempt); });
+        recordRun(execution);
+        at(messageDelay(), [this, execution, attempt] { onAnswer(execution, attempt); });
     }
 
-    void runs(std::uint64_t execution)
+    void recordRun(std::uint64_t execution)
     {
         const Execution &one = m_executions.at(execution);
         Request &request = m_requests.at(one.request);
         ++m_counts.runs;
-        m_counts.ranAfterItsLinkWasLost += one.linkLost ? 1 : 0;
-        if (++request.runs > 1 && !isHarmless(request.about)) {
+        m_counts.ranAfterLinkLoss += one.linkLost ? 1 : 0;
+        if (++request.runs > 1 && !isRepeatable(request.about)) {
             fail("charge " + std::to_string(one.request) + " ran twice");
         }
-        if (request.toldNotRun) {
-            fail("request " + std::to_string(one.request) + " ran after its caller heard \"not run\"");
+        if (request.reportedNotRun) {
+            fail("request " + std::to_string(one.request) + " ran after it was reported as \"not run\"");
         }
     }
 
@@ -513,15 +516,15 @@
         }
         const LedgerAction action = ledger->answered(attempt, m_executions.at(execution).about.kind == StatementKind::Write);
         if (action.kind == LedgerAction::Kind::Hold) {
-            const bool proven = !happens(10);
-            at(travel(), [this, execution, proven] {
+            const bool proven = !randomFault(10);
+            at(messageDelay(), [this, execution, proven] {
                 if (RequestLedger *held = ledgerOf(execution)) {
-                    take(execution, proven ? held->confirmed(execution) : held->unconfirmed(execution));
+                    applyAction(execution, proven ? held->confirmed(execution) : held->unconfirmed(execution));
                 }
             });
             return;
         }
-        take(execution, action);
+        applyAction(execution, action);
     }
 
     void breakConnection(std::uint64_t execution, HopId connection)
@@ -533,40 +536,41 @@
         for (const LedgerAction &action : ledger->hopBroken(connection, milliseconds{5}, m_now)) {
             ++m_counts.brokenConnections;
             if (m_faults.homeResends) {
-                resendBlindly(execution);
+                resend(execution);
                 return;
             }
             if (action.kind != LedgerAction::Kind::Retry) {
-                take(execution, action);
+                applyAction(execution, action);
                 continue;
             }
-            // Whether to send it again is for the front to say.
+            // Only the front retries requests.
             const bool reads = m_executions.at(execution).about.kind == StatementKind::Read;
             const Error error = reads ? Error{ErrorKind::Moved, "The read may be repeated.", milliseconds{5}}
                                       : Error{ErrorKind::UnknownOutcome, "The connection broke.", milliseconds{0}};
-            take(execution, ledger->refuse(execution, error));
+            applyAction(execution, ledger->refuse(execution, error));
         }
     }
 
-    void resendBlindly(std::uint64_t execution)
+    void resend(std::uint64_t execution)
     {
         Execution &one = m_executions.at(execution);
-        at(travel(), [this, execution] { atUpstream(execution, 0); });
-        one.left = true;
+        at(messageDelay(), [this, execution] { atUpstream(execution, 0); });
+        one.wasSent = true;
     }
 
     void giveUp(std::uint64_t execution)
     {
         if (RequestLedger *ledger = ledgerOf(execution)) {
-            take(execution, ledger->giveUp(execution, Error{ErrorKind::DeadlineExceeded, "Out of time.", milliseconds{0}}));
+            applyAction(execution,
+                        ledger->giveUp(execution, Error{ErrorKind::DeadlineExceeded, "Out of time.", milliseconds{0}}));
         }
     }
 
-    void take(std::uint64_t execution, const LedgerAction &action)
+    void applyAction(std::uint64_t execution, const LedgerAction &action)
     {
         StatementReply answer;
         const Execution &one = m_executions.at(execution);
-        answer.sent = one.left;
+        answer.sent = one.wasSent;
         if (action.kind == LedgerAction::Kind::Deliver) {
             answer.bytes = std::to_string(one.request);
         } else if (action.kind == LedgerAction::Kind::Fail) {
@@ -577,51 +581,51 @@
         reply(execution, answer);
     }
 
-    // ---- Accidents and planned stops
+    // ---- Faults and planned stops
 
-    void oneFault()
+    void injectFault()
     {
-        if (m_trouble == RequestPathTrouble::PlannedStops) {
-            stopAHome();
+        if (m_scenario == RequestPathScenario::PlannedStops) {
+            stopOneHome();
             return;
         }
-        if (below(2) == 0) {
-            m_primary = names[below(names.size())];
+        if (randomBelow(2) == 0) {
+            m_primary = names[randomBelow(names.size())];
             ++m_term;
             ++m_counts.primaryChanges;
             return;
         }
-        Home &home = m_homes.at(names[below(names.size())]);
-        ++m_counts.homeDeaths;
-        const std::uint64_t died = home.process;
+        Home &home = m_homes.at(names[randomBelow(names.size())]);
+        ++m_counts.homeCrashes;
+        const std::uint64_t crashed = home.process;
         replace(home);
-        end(home, died);
+        end(home, crashed);
     }
 
-    // Another process becomes the home.
+    // A new process becomes the home.
     static void replace(Home &home)
     {
         ++home.process;
         home.ledgers[home.process] = std::make_unique<RequestLedger>();
     }
 
-    // A process is gone, and so are the links to it.
+    // A process has ended, and the links to it break.
     void end(Home &home, std::uint64_t process)
     {
         home.ledgers.erase(process);
         for (auto &[execution, one] : m_executions) {
             const bool here = &m_homes.at(one.upstream) == &home && one.process == process;
             if (here && m_requests.at(one.request).outstanding == execution) {
-                loseLink(execution, travel(), true);
+                loseLink(execution, messageDelay(), true);
             }
         }
     }
 
-    // UpstreamHome::drain: what is queued is refused as not run, what is in progress
-    // ends, and only then the process does.
-    void stopAHome()
+    // As UpstreamHome::drain: queued requests are refused as not run, those in progress
+    // end, and the process ends after them.
+    void stopOneHome()
     {
-        Home &home = m_homes.at(names[below(names.size())]);
+        Home &home = m_homes.at(names[randomBelow(names.size())]);
         const std::uint64_t old = home.process;
         ++m_counts.plannedStops;
         replace(home);
@@ -634,7 +638,7 @@
             m_counts.inProgressAtStops += state == RequestState::Sent || state == RequestState::Answered ? 1 : 0;
             if (state == RequestState::Queued) {
                 ++m_counts.queuedAtStops;
-                take(execution, ledger.refuse(execution, Error{ErrorKind::Moved, "This host stops.", milliseconds{5}}));
+                applyAction(execution, ledger.refuse(execution, Error{ErrorKind::Moved, "This host stops.", milliseconds{5}}));
             }
         }
         if (m_faults.stopsAtOnce) {
@@ -659,7 +663,7 @@
     }
 
     const RequestPathFaults m_faults;
-    const RequestPathTrouble m_trouble;
+    const RequestPathScenario m_scenario;
     std::mt19937_64 m_random;
     TimePoint m_now{std::chrono::seconds{100}};
     std::uint64_t m_order = 0;
--- a/tests/core/retrybudget_test.cpp
+++ b/tests/core/retrybudget_test.cpp
@@ -1,4 +1,4 @@
-// The bound on egrettide's own retries.
+// The limit on egrettide's own retries.
 
 #define BOOST_TEST_MODULE RetryBudget
 #include <boost/test/unit_test.hpp>
@@ -14,8 +14,8 @@
 namespace
 {
 
-// Sends for each request when every request fails and is retried as often as the
-// budget allows; `burst` requests arrive before their retries are asked for.
+// The maximum number of sends per request if every request fails and is retried as often
+// as the budget allows; `burst` requests arrive before their retries.
 double worstAmplification(const RetryBudgetOptions &options, int requests, int burst)
 {
     RetryBudget budget(options);
@@ -79,11 +79,11 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesABudgetThatGrantsAll)
+BOOST_AUTO_TEST_CASE(CheckFailsForABudgetThatGrantsAll)
 {
     RetryBudgetOptions options;
     options.grantAll = true;
-    BOOST_TEST(worstAmplification(options, 100, 1) > 1.1, "unbounded retries go unnoticed");
+    BOOST_TEST(worstAmplification(options, 100, 1) > 1.1, "unlimited retries are not detected");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/router_test.cpp
+++ b/tests/core/router_test.cpp
@@ -1,4 +1,4 @@
-// Where requests go, why, and what may be sent a second time.
+// The choice of upstreams, its reasons, and which requests may be retried.
 
 #define BOOST_TEST_MODULE Router
 #include <boost/test/unit_test.hpp>
@@ -79,7 +79,7 @@
         return router.choose(about, attempts, start, random).value();
     }
 
-    // The next upstream after a refusal, empty when the refusal goes to the caller.
+    // The next upstream after a refusal; empty if the refusal goes to the caller.
     std::string after(const StatementRequest &about, const StatementReply &reply)
     {
         const auto decision = router.afterReply(about, reply, attempts, start, random);
@@ -117,14 +117,13 @@
     GroupHint busy = hint(1, "a");
     busy.members[1].expectedWait = milliseconds(30);
     fixture.router.learn(busy, "a", start);
-    BOOST_TEST(fixture.choose(request(StatementKind::Read)).upstream == "b", "only the home of b knows its queue");
+    BOOST_TEST(fixture.choose(request(StatementKind::Read)).upstream == "b", "only the wait in hints of b's own home may count");
     fixture.router.learn(busy, "b", start);
     BOOST_TEST(fixture.choose(request(StatementKind::Read)).upstream == "c");
 }
 
-// Symptom: after a change of primary, writes reach the replaced one.
-// Sequence: a slow home's answer with the old term comes after the new primary was learnt.
-// Cause: the newest hint was taken whatever its term.
+// After a change of primary, a late reply of a slow home still has a hint of the old term. If
+// the latest hint counted regardless of its term, writes would go to the replaced primary.
 BOOST_AUTO_TEST_CASE(AHintOfALowerTermNeverReplacesAHigherOne)
 {
     Fixture fixture;
@@ -134,22 +133,22 @@
     BOOST_TEST(fixture.router.term("booking") == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(FallsBackToThePrimaryAndSaysWhy)
+BOOST_AUTO_TEST_CASE(FallsBackToThePrimaryAndGivesTheReason)
 {
     Fixture fixture;
-    StatementRequest behind = request(StatementKind::Read);
+    StatementRequest beyondFloor = request(StatementKind::Read);
     GroupHint slow = hint(1, "a");
     fixture.router.learn(hint(1, "a", 101), "a", start + milliseconds(1000));
-    behind.freshness.floor = LogMark{1, 100000};
-    BOOST_TEST((fixture.choose(behind).reason == PrimaryReason::Floor));
+    beyondFloor.freshness.floor = LogMark{1, 100000};
+    BOOST_TEST((fixture.choose(beyondFloor).reason == PrimaryReason::Floor));
 
-    StatementRequest aged = request(StatementKind::Read);
-    aged.freshness.maxAge = milliseconds(100);
+    StatementRequest withMaxAge = request(StatementKind::Read);
+    withMaxAge.freshness.maxAge = milliseconds(100);
     for (MemberHint &each : slow.members) {
         each.age = milliseconds(900);
     }
     fixture.router.learn(slow, "a", start);
-    BOOST_TEST((fixture.choose(aged).reason == PrimaryReason::Age));
+    BOOST_TEST((fixture.choose(withMaxAge).reason == PrimaryReason::Age));
 
     GroupHint gone = hint(1, "a");
     gone.members[1].reachable = false;
@@ -164,13 +163,13 @@
     unknown.freshness.latest = true;
     StatementRequest ahead = request(StatementKind::Read);
     ahead.freshness.floor = LogMark{1, 101};
-    Fixture naive(RoutingPolicy::Baseline);
-    BOOST_TEST(naive.choose(unknown).upstream == "a");
-    BOOST_TEST(naive.choose(ahead).upstream == "a");
-    BOOST_TEST(naive.choose(request(StatementKind::Read)).upstream == "b");
-    Fixture ours;
-    BOOST_TEST(ours.choose(unknown).upstream == "b");
-    BOOST_TEST(ours.choose(ahead).upstream == "b");
+    Fixture baseline(RoutingPolicy::Baseline);
+    BOOST_TEST(baseline.choose(unknown).upstream == "a");
+    BOOST_TEST(baseline.choose(ahead).upstream == "a");
+    BOOST_TEST(baseline.choose(request(StatementKind::Read)).upstream == "b");
+    Fixture replicas;
+    BOOST_TEST(replicas.choose(unknown).upstream == "b");
+    BOOST_TEST(replicas.choose(ahead).upstream == "b");
 }
 
 BOOST_AUTO_TEST_CASE(TriesEachUpstreamOnceAndCountsWhereTheReadEnded)
@@ -219,10 +218,9 @@
     BOOST_TEST((router.choose(elsewhere, none, start, random).error().kind == ErrorKind::UnknownDatabase));
 }
 
-// Symptom: while a primary is promoted each waiting caller makes 150 requests to the homes
-// of its database, whose processors the promotion waits for.
-// Sequence: no home knows a primary; the caller looks again, and again.
-// Cause: each look asked all homes.
+// While a primary is promoted, no home knows one, and a waiting request starts a new round
+// again and again. If each round asked all homes, every waiting caller would cause 150
+// requests to the homes of its database and take processor time from the promotion.
 BOOST_AUTO_TEST_CASE(AsksOneHomeInEachFurtherRoundAndAnotherOneEachTime)
 {
     Router router(RouterOptions{});
@@ -230,8 +228,8 @@
     RouteAttempts attempts;
     std::mt19937_64 random(1);
     const StatementRequest write = request(StatementKind::Write);
-    StatementReply knowsNone = refusal(ErrorKind::NoPrimary);
-    knowsNone.hint = {};
+    StatementReply noPrimary = refusal(ErrorKind::NoPrimary);
+    noPrimary.hint = {};
     std::set<std::string> asked;
     const auto sendsOfOneRound = [&] {
         int sends = 0;
@@ -239,37 +237,37 @@
         while (const auto *route = std::get_if<Route>(&next)) {
             ++sends;
             asked.insert(route->upstream);
-            next = router.afterReply(write, knowsNone, attempts, start, random);
+            next = router.afterReply(write, noPrimary, attempts, start, random);
         }
         return sends;
     };
-    BOOST_TEST(sendsOfOneRound() == 3, "the first round asks everybody");
+    BOOST_TEST(sendsOfOneRound() == 3, "the first round must ask all homes");
     asked.clear();
     for (int round = 0; round < 3; ++round) {
         attempts.startOver();
         BOOST_TEST(sendsOfOneRound() == 1);
     }
-    BOOST_TEST(asked.size() == 3U, "a home that nobody asks again may be the only one that knows");
+    BOOST_TEST(asked.size() == 3U, "each home must be asked again, since it may be the only one that knows the primary");
     attempts.startOver();
     router.choose(write, attempts, start, random).value();
     StatementReply moved = refusal(ErrorKind::Moved);
     moved.hint = hint(3, "c");
     const auto next = router.afterReply(write, moved, attempts, start, random);
     BOOST_REQUIRE(std::holds_alternative<Route>(next));
-    BOOST_TEST(std::get<Route>(next).upstream == "c", "a primary that is named has to be followed");
+    BOOST_TEST(std::get<Route>(next).upstream == "c", "a primary that is named in a hint must be tried");
 }
 
-BOOST_AUTO_TEST_CASE(TellsWhenAPrimaryBecomesKnown)
+BOOST_AUTO_TEST_CASE(NotifiesWhenAPrimaryBecomesKnown)
 {
-    std::vector<std::string> told;
-    Router router(RouterOptions{}, {}, [&told](const std::string &database) { told.push_back(database); });
+    std::vector<std::string> notified;
+    Router router(RouterOptions{}, {}, [&notified](const std::string &database) { notified.push_back(database); });
     router.configure(configuration());
     router.learn(hint(1, "a"), "a", start);
     router.learn(hint(1, "a"), "b", start);
-    BOOST_TEST(told.size() == 1U, "the same primary is no news");
+    BOOST_TEST(notified.size() == 1U, "the same primary must not be notified twice");
     router.learn(hint(2, "b"), "b", start);
     router.learn(hint(1, "a"), "a", start);
-    BOOST_TEST(told.size() == 2U);
+    BOOST_TEST(notified.size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(SpendsTheRetryBudgetOnOverloadOnly)
@@ -282,10 +280,10 @@
     BOOST_TEST(fixture.after(read, refusal(ErrorKind::NotFresh)) == "c");
 }
 
-// Symptom: every read of one front is late while one link between hosts is broken.
-// Sequence: reads are lost at that home one after the other; its replies carry no hint.
-// Cause: a lost read taught the router nothing.
-BOOST_AUTO_TEST_CASE(LeavesOutAReplicaThatLostAReadForAWhile)
+// While the link to one home is broken, its replies carry no hint. If a lost read did not
+// exclude the replica for a while, every read of the front would be lost there first and be
+// late.
+BOOST_AUTO_TEST_CASE(AvoidsAReplicaThatLostARead)
 {
     Fixture fixture;
     const StatementRequest read = request(StatementKind::Read);
@@ -298,10 +296,9 @@
     BOOST_TEST(fixture.router.choose(read, later, start + milliseconds(201), fixture.random).value().upstream == "b");
 }
 
-// Symptom: reads of a healthy zone go to the primary while another zone is cut off.
-// Sequence: the cut-off zone's home answers a front and calls all other upstreams unreachable.
-// Cause: its word replaced that of the upstreams' own homes.
-BOOST_AUTO_TEST_CASE(BelievesAnUpstreamsOwnHomeBeforeOthers)
+// The home of a zone that is cut off reports all other upstreams as unreachable. If this
+// replaced the hints of their own homes, reads of healthy zones would go to the primary.
+BOOST_AUTO_TEST_CASE(PrefersHintsOfAnUpstreamsOwnHome)
 {
     Fixture fixture;
     GroupHint cutOff = hint(1, "a");
@@ -313,16 +310,15 @@
     BOOST_TEST(fixture.choose(request(StatementKind::Read)).upstream == "c");
 }
 
-// Symptom: a family is charged twice.
-// Sequence: the charge leaves for the primary, its answer is lost, the front sends it again.
-// Cause: a lost answer was taken for a request that had not run.
-BOOST_AUTO_TEST_CASE(NeverSendsAChargeAgainOnceItHasLeft)
+// A charge, a write that is not idempotent, is sent to the primary and its answer is lost. If
+// the front took that as "not run" and retried it, the charge would run twice.
+BOOST_AUTO_TEST_CASE(NeverRetriesAChargeThatWasSent)
 {
     int chargesLeft = 0;
-    int chargesSentAgain = 0;
-    int harmlessSentAgain = 0;
+    int chargesRetried = 0;
+    int repeatableRetried = 0;
     int corrected = 0;
-    BOOST_TEST(rc::check("a request that left runs again only when that is harmless", [&] {
+    BOOST_TEST(rc::check("a request that was sent is retried only if it is read-only or idempotent", [&] {
         Fixture fixture;
         StatementRequest about = request(
             *rc::gen::elementOf(std::vector<StatementKind>{StatementKind::Read, StatementKind::Write, StatementKind::Begin,
@@ -338,36 +334,36 @@
             reply.hint = hint(*rc::gen::inRange<Term>(1, 4), *rc::gen::elementOf(std::vector<std::string>{"a", "b", "c"}));
             unknown = unknown || sent || outcomeOf(kind) == Outcome::Unknown;
             const auto decision = fixture.router.afterReply(about, reply, fixture.attempts, start, fixture.random);
-            const bool harmless = about.kind == StatementKind::Read || about.kind == StatementKind::BeginReadOnly
+            const bool repeatable = about.kind == StatementKind::Read || about.kind == StatementKind::BeginReadOnly
                 || (about.idempotent && about.kind == StatementKind::Write);
             if (std::holds_alternative<Route>(decision)) {
                 RC_ASSERT(about.transaction == 0U);
-                RC_ASSERT(harmless || !unknown);
-                (harmless ? harmlessSentAgain : chargesSentAgain) += 1;
+                RC_ASSERT(repeatable || !unknown);
+                (repeatable ? repeatableRetried : chargesRetried) += 1;
                 continue;
             }
             const auto &finish = std::get<Finish>(decision);
-            chargesLeft += unknown && !harmless ? 1 : 0;
+            chargesLeft += unknown && !repeatable ? 1 : 0;
             corrected += finish.instead ? 1 : 0;
             const Error &given = finish.instead ? *finish.instead : *reply.error;
-            // A refusal that says "not run" must be true of every attempt.
+            // A refusal that reports "not run" must hold for every attempt.
             RC_ASSERT(!unknown || outcomeOf(given.kind) != Outcome::NotRun);
             return;
         }
         RC_FAIL("the request is sent without end");
     }));
-    BOOST_TEST_MESSAGE(chargesLeft << " charges that left, " << chargesSentAgain << " sent again unsent, " << harmlessSentAgain
-                                   << " others sent again, " << corrected << " refusals corrected");
-    // Without these the claim was not put to the test.
+    BOOST_TEST_MESSAGE(chargesLeft << " charges sent, " << chargesRetried << " retried before they were sent, "
+                                   << repeatableRetried << " others retried, " << corrected << " refusals corrected");
+    // Without these the claim is not exercised.
     BOOST_TEST(chargesLeft > 0);
-    BOOST_TEST(chargesSentAgain > 0);
-    BOOST_TEST(harmlessSentAgain > 0);
+    BOOST_TEST(chargesRetried > 0);
+    BOOST_TEST(repeatableRetried > 0);
     BOOST_TEST(corrected > 0);
 }
 
-// Symptom: a caller is told "not run" and charges again, and the family pays twice.
-// Sequence: an idempotent charge is lost, the front waits for a primary, starts over and is refused.
-// Cause: starting over forgot the lost attempt.
+// An idempotent charge is lost, the front waits for a primary, starts a new round and is
+// refused. If the new round dropped the unknown outcome, the caller would get "not run", send
+// a new charge and pay twice.
 BOOST_AUTO_TEST_CASE(StartingOverKeepsAnUnknownOutcome)
 {
     Fixture fixture;
@@ -410,7 +406,7 @@
 
 BOOST_AUTO_TEST_SUITE(ReadsThatNeedThePrimary)
 
-BOOST_FIXTURE_TEST_CASE(GoThereAndNowhereElse, Fixture)
+BOOST_FIXTURE_TEST_CASE(AreSentOnlyThere, Fixture)
 {
     StatementRequest read = request(StatementKind::Read);
     read.needsPrimary = true;
@@ -433,16 +429,16 @@
     return reply;
 }
 
-// Asks once and tells where it went, and whether the answer was taken there.
-std::string sendRead(Router &router, const StatementRequest &request, const std::set<std::string> &behind, TimePoint now,
-                     std::vector<std::string> &asked)
+// Routes one read and returns its outcome; appends each upstream that was tried to `asked`.
+std::string sendRead(Router &router, const StatementRequest &request, const std::set<std::string> &laggingUpstreams,
+                     TimePoint now, std::vector<std::string> &asked)
 {
     std::mt19937_64 random(1);
     RouteAttempts attempts;
     auto route = router.choose(request, attempts, now, random);
     while (route) {
         asked.push_back(route->upstream);
-        StatementReply reply = behind.contains(route->upstream) ? notFresh() : StatementReply{};
+        StatementReply reply = laggingUpstreams.contains(route->upstream) ? notFresh() : StatementReply{};
         if (route->primary) {
             reply = refusal(ErrorKind::Overloaded);
             reply.hint.members.clear();
@@ -454,17 +450,16 @@
         }
         route = *next;
     }
-    return "nobody";
+    return "no upstream";
 }
 
 } // namespace
 
-// Symptom: callers are told that no state is fresh enough, and nothing about when to come
-// back, while the primary is merely full.
-// Sequence: both replicas are seconds behind; each read is turned away by both, and by the
-// primary for want of a slot, in three milliseconds; callers ask again at once.
-// Cause: a replica that had just turned a read away was asked again by the next one.
-BOOST_AUTO_TEST_CASE(AreLeftOutOfSuchReadsForAWhile)
+// Both replicas are seconds behind and the primary has no free slot. If each read tried both
+// replicas again, it would be refused by all three upstreams within three milliseconds, and
+// its caller would get NotFresh without a time to retry instead of Overloaded, and retry at
+// once.
+BOOST_AUTO_TEST_CASE(AreBackedOffForSuchReads)
 {
     Router router(RouterOptions{});
     router.configure(configuration());
@@ -481,11 +476,11 @@
     }
     const auto replicas = std::ranges::count_if(asked, [](const std::string &upstream) { return upstream != "a"; });
     BOOST_TEST(replicas <= 40, "600 reads in 6 s asked replicas that are behind " << replicas << " times");
-    BOOST_TEST(overloaded >= 560, "only " << overloaded << " of 600 were told of the overload, the last: " << last);
+    BOOST_TEST(overloaded >= 560, "only " << overloaded << " of 600 were refused as overloaded, the last: " << last);
     asked.clear();
     const TimePoint caughtUp = start + milliseconds(8000);
     BOOST_TEST(sendRead(router, read, {}, caughtUp, asked).starts_with("served by "));
-    BOOST_TEST(asked.front() != "a", "a replica that may have caught up was not tried again");
+    BOOST_TEST(asked.front() != "a", "a replica that may have caught up must be tried again");
 }
 
 BOOST_AUTO_TEST_CASE(ForASessionsOwnWritesMayServeOlderState)
@@ -501,7 +496,7 @@
     sendRead(router, own, {"b", "c"}, start, asked);
     asked.clear();
     BOOST_TEST(sendRead(router, old, {}, start + milliseconds(1), asked) != "served by a");
-    BOOST_TEST(asked.front() != "a", "a read of any young state went to the primary");
+    BOOST_TEST(asked.front() != "a", "a read with a maximum age must still go to a replica");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/shortfirst_test.cpp
+++ b/tests/core/shortfirst_test.cpp
@@ -1,10 +1,9 @@
-// The load of a primary whose replicas are far behind: reads that take long and may wait
-// come to the same slots as short ones that may not.
+// The load of a primary whose replicas are far behind: long reads with a loose objective
+// compete for the slots with short ones with a tight objective.
 //
-// Symptom: half of the callers are late or refused although the slots are always busy.
-// Sequence: a queue stands; every slot that a long read takes is missed by several short
-// statements, which become late one after the other.
-// Cause: statements of one priority went by their time alone, whatever they cost.
+// If statements of one priority are ordered by due time alone, each long read that gets a
+// slot makes several short statements late: under a standing queue, half of the callers
+// were late or refused although the slots were always busy.
 
 #define BOOST_TEST_MODULE ShortFirst
 #include <boost/test/unit_test.hpp>
@@ -30,7 +29,7 @@
     return options;
 }
 
-std::map<std::string, Tally> played(bool shortFirst, std::uint64_t seed)
+std::map<std::string, Tally> runLoad(bool shortFirst, std::uint64_t seed)
 {
     const CallerKind desk{"desk", 0.82, milliseconds{18}, milliseconds{250}, milliseconds{250}, milliseconds{800}};
     const CallerKind tracker{"tracker", 0.18, milliseconds{30}, milliseconds{500}, milliseconds{500}, milliseconds{2000}};
@@ -41,7 +40,7 @@
 {
     Tally all;
     for (const auto &[name, tally] : tallies) {
-        all.asked += tally.asked;
+        all.requests += tally.requests;
         all.inTime += tally.inTime;
     }
     return all.shareInTime();
@@ -53,29 +52,30 @@
 
 BOOST_AUTO_TEST_CASE(AreAnsweredInTimeMoreOftenWhenShortOnesGoFirst)
 {
-    constexpr int plays = 20;
+    constexpr int runs = 20;
     double with = 0;
     double without = 0;
     double trackerWith = 0;
     double trackerWithout = 0;
-    for (std::uint64_t seed = 1; seed <= plays; ++seed) {
-        auto shortFirst = played(true, seed);
-        auto byTime = played(false, seed);
-        with += inTime(shortFirst) / plays;
-        without += inTime(byTime) / plays;
-        trackerWith += shortFirst["tracker"].shareInTime() / plays;
-        trackerWithout += byTime["tracker"].shareInTime() / plays;
+    for (std::uint64_t seed = 1; seed <= runs; ++seed) {
+        auto shortFirst = runLoad(true, seed);
+        auto byDueTime = runLoad(false, seed);
+        with += inTime(shortFirst) / runs;
+        without += inTime(byDueTime) / runs;
+        trackerWith += shortFirst["tracker"].shareInTime() / runs;
+        trackerWithout += byDueTime["tracker"].shareInTime() / runs;
     }
-    BOOST_TEST_MESSAGE("in time " << with << " with short ones first, " << without << " by time alone; long ones " << trackerWith
-                                  << " and " << trackerWithout);
-    BOOST_TEST(with > without + 0.03, "too little is gained: " << with << " against " << without);
+    BOOST_TEST_MESSAGE("in time " << with << " with short ones first, " << without << " by due time alone; long ones "
+                                  << trackerWith << " and " << trackerWithout);
+    BOOST_TEST(with > without + 0.03,
+               "short statements first improve the answers in time too little: " << with << " against " << without);
 }
 
 BOOST_AUTO_TEST_CASE(EachGetExactlyOneOutcome)
 {
     BOOST_TEST(rc::check("answered or refused, never both, never lost", [] {
-        for (const auto &[name, tally] : played(true, *rc::gen::arbitrary<std::uint64_t>())) {
-            RC_ASSERT(tally.inTime + tally.late + tally.refused == tally.asked);
+        for (const auto &[name, tally] : runLoad(true, *rc::gen::arbitrary<std::uint64_t>())) {
+            RC_ASSERT(tally.inTime + tally.late + tally.refused == tally.requests);
         }
     }));
 }
--- a/tests/core/slotload.h
+++ b/tests/core/slotload.h
@@ -1,5 +1,5 @@
-// Plays a load against a scheduler in simulated time, with callers of several kinds that
-// arrive at random and statements that last at random, and counts what callers get.
+// Runs a load against a scheduler in simulated time, with several kinds of callers and
+// exponentially distributed arrivals and service times, and counts the outcomes.
 
 #pragma once
 
@@ -20,35 +20,35 @@
 
 struct CallerKind {
     std::string className;
-    // Of all arrivals, 0 to 1.
+    // The fraction of all arrivals, 0 to 1.
     double share = 1;
     milliseconds meanService{0};
-    // Unset: the callers tell none.
-    std::optional<milliseconds> toldObjective;
-    // What counts as in time, told or not.
+    // The objective in the tickets; unset if they have none.
+    std::optional<milliseconds> sentObjective;
+    // The response time that counts as in time.
     milliseconds objective{0};
     milliseconds timeout{0};
 };
 
-// More arrives than the slots can run until `overloadEnds`, and less from then on.
+// Load above capacity until `overloadEnds`, and below it afterwards.
 struct LoadShape {
     TimePoint start;
     TimePoint overloadEnds;
     TimePoint ends;
-    // Slots asked for, of the slots there are.
+    // Slots needed by the arrivals, relative to the available slots.
     double overload = 1;
-    double calm = 0.5;
+    double loadAfterOverload = 0.5;
 };
 
 struct Tally {
-    int asked = 0;
+    int requests = 0;
     int inTime = 0;
     int late = 0;
     int refused = 0;
 
     double shareInTime() const
     {
-        return asked == 0 ? 0 : static_cast<double>(inTime) / asked;
+        return requests == 0 ? 0 : static_cast<double>(inTime) / requests;
     }
 };
 
@@ -65,7 +65,7 @@
     {
     }
 
-    // By the name of the class.
+    // The outcomes by class name.
     std::map<std::string, Tally> run()
     {
         TimePoint next = m_shape.start;
@@ -76,17 +76,17 @@
             if (m_now == ends) {
                 finishOne();
             } else if (m_now == next) {
-                ask();
-                next += gap();
+                enqueueNext();
+                next += randomInterarrivalTime();
             } else {
-                take(m_scheduler.expire(m_now));
+                applyActions(m_scheduler.expire(m_now));
             }
         }
         return m_outcome;
     }
 
 private:
-    Clock::duration drawn(double meanMilliseconds)
+    Clock::duration randomDuration(double meanMilliseconds)
     {
         std::exponential_distribution<double> distribution(1.0 / meanMilliseconds);
         return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double, std::milli>(distribution(m_random)));
@@ -101,13 +101,13 @@
         return mean;
     }
 
-    Clock::duration gap()
+    Clock::duration randomInterarrivalTime()
     {
-        const double load = m_now < m_shape.overloadEnds ? m_shape.overload : m_shape.calm;
-        return drawn(meanService() / m_slots / load);
+        const double load = m_now < m_shape.overloadEnds ? m_shape.overload : m_shape.loadAfterOverload;
+        return randomDuration(meanService() / m_slots / load);
     }
 
-    const CallerKind &drawnKind()
+    const CallerKind &randomKind()
     {
         if (m_kinds.size() == 1) {
             return m_kinds.front();
@@ -122,19 +122,19 @@
         return m_kinds.back();
     }
 
-    void ask()
+    void enqueueNext()
     {
-        const CallerKind &kind = drawnKind();
-        ++m_outcome[kind.className].asked;
+        const CallerKind &kind = randomKind();
+        ++m_outcome[kind.className].requests;
         StatementTicket ticket;
         ticket.id = ++m_lastId;
         ticket.className = kind.className;
         ticket.kind = StatementKind::Read;
         ticket.deadline = m_now + kind.timeout;
-        if (kind.toldObjective) {
-            ticket.objective = m_now + *kind.toldObjective;
+        if (kind.sentObjective) {
+            ticket.objective = m_now + *kind.sentObjective;
         }
-        m_asked[ticket.id] = {m_now, &kind};
+        m_requests[ticket.id] = {m_now, &kind};
         const Admission admission = m_scheduler.enqueue(ticket, m_now);
         if (admission.state == AdmissionState::Admitted) {
             begin(ticket.id);
@@ -145,17 +145,17 @@
 
     void begin(std::uint64_t id)
     {
-        const auto lasts = drawn(static_cast<double>(m_asked.at(id).second->meanService.count()));
+        const auto lasts = randomDuration(static_cast<double>(m_requests.at(id).second->meanService.count()));
         m_running.emplace(m_now + lasts, std::make_pair(id, lasts));
     }
 
-    void take(const SlotActions &actions)
+    void applyActions(const SlotActions &actions)
     {
         for (const std::uint64_t id : actions.admitted) {
             begin(id);
         }
         for (const TicketRefusal &refusal : actions.refused) {
-            ++m_outcome[m_asked.at(refusal.id).second->className].refused;
+            ++m_outcome[m_requests.at(refusal.id).second->className].refused;
         }
     }
 
@@ -163,10 +163,10 @@
     {
         const auto [id, lasted] = m_running.top().second;
         m_running.pop();
-        const auto [askedAt, kind] = m_asked.at(id);
+        const auto [enqueuedAt, kind] = m_requests.at(id);
         Tally &tally = m_outcome[kind->className];
-        ++(m_now <= askedAt + kind->objective ? tally.inTime : tally.late);
-        take(m_scheduler.finished(id, m_now, lasted));
+        ++(m_now <= enqueuedAt + kind->objective ? tally.inTime : tally.late);
+        applyActions(m_scheduler.finished(id, m_now, lasted));
     }
 
     using Running = std::pair<TimePoint, std::pair<std::uint64_t, Clock::duration>>;
@@ -178,8 +178,8 @@
     SlotScheduler m_scheduler;
     TimePoint m_now;
     std::uint64_t m_lastId = 0;
-    // When each ticket was asked for, and by whom.
-    std::map<std::uint64_t, std::pair<TimePoint, const CallerKind *>> m_asked;
+    // The arrival and the kind of each ticket.
+    std::map<std::uint64_t, std::pair<TimePoint, const CallerKind *>> m_requests;
     std::priority_queue<Running, std::vector<Running>, std::greater<>> m_running;
     std::map<std::string, Tally> m_outcome;
 };
--- a/tests/core/slotscheduler_test.cpp
+++ b/tests/core/slotscheduler_test.cpp
@@ -1,5 +1,6 @@
-// What the slot scheduler promises: admission, refusal at once, reservations,
-// transactions, pauses, and the invariants under arbitrary sequences of events.
+// The slot scheduler: admission, immediate refusal, reservations, transactions, pauses, and
+// the invariants under arbitrary sequences of events. Desks are a class with a reservation,
+// parents one without.
 
 #define BOOST_TEST_MODULE SlotScheduler
 #include <boost/test/unit_test.hpp>
@@ -53,7 +54,7 @@
     return result;
 }
 
-// Fills every slot with parents' reads, ids from 1000 on.
+// Enqueues reads of parents with the ids from 1000 on, one for each of `slots`.
 void fillSlots(SlotScheduler &scheduler, int slots)
 {
     for (int index = 0; index < slots; ++index) {
@@ -61,17 +62,17 @@
     }
 }
 
-// Drives a scheduler with events made from arbitrary words, and checks after each
-// what must always hold. The caller of the scheduler in small: it keeps tickets,
-// open transactions and its own count of what may be in use.
-class Trial
+// Drives a scheduler with events derived from random words and checks the invariants after
+// each. Acts as the owner of the scheduler: keeps the tickets, the open transactions and the
+// slots in use.
+class SchedulerSimulation
 {
 public:
-    explicit Trial(const SlotSchedulerOptions &options) : m_options(options), m_scheduler(options)
+    explicit SchedulerSimulation(const SlotSchedulerOptions &options) : m_options(options), m_scheduler(options)
     {
     }
 
-    // The first violated claim, or nothing.
+    // Returns the first violation, or nullopt.
     std::optional<std::string> run(const std::vector<std::uint32_t> &words)
     {
         for (const std::uint32_t word : words) {
@@ -114,7 +115,7 @@
         } else {
             const TimePoint next = m_scheduler.nextEventAt();
             m_now = next == TimePoint::max() ? m_now : std::max(m_now, next);
-            take(m_scheduler.expire(m_now));
+            applyActions(m_scheduler.expire(m_now));
         }
     }
 
@@ -135,7 +136,7 @@
         if (admission.state == AdmissionState::Refused) {
             m_scheduler.queued();
             if (!admission.error || outcomeOf(admission.error->kind) != Outcome::NotRun) {
-                fail("a refusal is no NotRun error");
+                fail("the outcome of a refusal is not NotRun");
             }
             return;
         }
@@ -179,13 +180,13 @@
         for (const auto &[name, count] : m_openTransactions) {
             open += count;
         }
-        const int forDesks = className == "desks" ? 0 : std::max(0, 1 - m_openTransactions["desks"]);
-        if (open + forDesks > m_options.maximumTransactions) {
-            fail("transactions take the last place of the desks: " + std::to_string(open) + " open");
+        const int reservedForDesks = className == "desks" ? 0 : std::max(0, 1 - m_openTransactions["desks"]);
+        if (open + reservedForDesks > m_options.maximumTransactions) {
+            fail("transactions exceed the limit or the reservation of the desks: " + std::to_string(open) + " open");
         }
     }
 
-    void take(const SlotActions &actions)
+    void applyActions(const SlotActions &actions)
     {
         for (const TicketRefusal &refusal : actions.refused) {
             refused(refusal);
@@ -202,7 +203,7 @@
             return fail("ticket " + std::to_string(refusal.id) + " got a second outcome");
         }
         if (refusal.error.retryAfter <= 0ms) {
-            fail("a refusal does not say when to come back");
+            fail("a refusal has no retry time");
         }
         m_tickets.erase(found);
     }
@@ -219,7 +220,7 @@
         m_inUseBefore = static_cast<int>(m_inUse.size());
         m_ordinaryBefore = ordinaryInUse();
         m_now += std::chrono::microseconds(detail % 5000);
-        take(m_scheduler.finished(id, m_now, std::chrono::microseconds(100 + detail % 20000)));
+        applyActions(m_scheduler.finished(id, m_now, std::chrono::microseconds(100 + detail % 20000)));
     }
 
     void withdrawOne(std::uint32_t detail)
@@ -246,7 +247,7 @@
         if (m_paused) {
             m_scheduler.pause();
         } else {
-            take(m_scheduler.resume(m_now));
+            applyActions(m_scheduler.resume(m_now));
         }
     }
 
@@ -255,16 +256,16 @@
         for (auto &[className, open] : m_openTransactions) {
             if (open > 0 && detail % 3 != 0) {
                 --open;
-                return take(m_scheduler.transactionEnded(className, m_now));
+                return applyActions(m_scheduler.transactionEnded(className, m_now));
             }
         }
     }
 
-    // Operators change the slots; what is in use may then exceed them until it ends.
+    // Changes the number of slots; statements in use may exceed it until they end.
     void reconfigure(std::uint32_t detail)
     {
         m_options.slots = 1 + static_cast<int>(detail % 5);
-        take(m_scheduler.configure(m_options, m_now));
+        applyActions(m_scheduler.configure(m_options, m_now));
     }
 
     void drain()
@@ -273,11 +274,11 @@
             refused(refusal);
         }
         if (m_scheduler.queued() != 0) {
-            fail("something is queued after drainAll");
+            fail("tickets are queued after refuseAll");
         }
     }
 
-    bool couldGo(const StatementTicket &ticket) const
+    bool isAdmissible(const StatementTicket &ticket) const
     {
         if (ticket.holdsTransaction || ticket.kind == StatementKind::Read) {
             return true;
@@ -296,7 +297,7 @@
     {
         const int inUse = static_cast<int>(m_inUse.size());
         if (inUse != m_scheduler.inUse()) {
-            fail("in use: " + std::to_string(inUse) + " by the answers, " + std::to_string(m_scheduler.inUse()) + " inside");
+            fail("in use: " + std::to_string(inUse) + " expected, " + std::to_string(m_scheduler.inUse()) + " reported");
         }
         const int ordinary = ordinaryInUse();
         const bool more = inUse > m_inUseBefore && inUse > m_options.slots + m_options.limitMargin;
@@ -309,16 +310,16 @@
         int queued = 0;
         for (const auto &[id, entry] : m_tickets) {
             queued += entry.isQueued ? 1 : 0;
-            if (entry.isQueued && couldGo(entry.ticket) && inUse < m_scheduler.limit()) {
-                fail("a slot idles while ticket " + std::to_string(id) + " waits");
+            if (entry.isQueued && isAdmissible(entry.ticket) && inUse < m_scheduler.limit()) {
+                fail("a slot is idle while ticket " + std::to_string(id) + " waits");
             }
         }
         if (queued != m_scheduler.queued()) {
-            fail("queued: " + std::to_string(queued) + " by the answers, " + std::to_string(m_scheduler.queued()) + " inside");
+            fail("queued: " + std::to_string(queued) + " expected, " + std::to_string(m_scheduler.queued()) + " reported");
         }
     }
 
-    // With capacity free and time passing, every ticket gets its outcome.
+    // Frees the slots and advances the time until every ticket has its outcome.
     void finishAll()
     {
         if (m_paused) {
@@ -326,12 +327,12 @@
         }
         for (int round = 0; round < 10000 && !m_tickets.empty() && !m_violation; ++round) {
             m_now += 1ms;
-            take(m_scheduler.expire(m_now));
+            applyActions(m_scheduler.expire(m_now));
             finishOne(0);
             for (auto &[className, open] : m_openTransactions) {
                 if (open > 0) {
                     --open;
-                    take(m_scheduler.transactionEnded(className, m_now));
+                    applyActions(m_scheduler.transactionEnded(className, m_now));
                 }
             }
             check();
@@ -355,14 +356,14 @@
     bool m_paused = false;
     std::map<std::uint64_t, Ticket> m_tickets;
     std::set<std::uint64_t> m_inUse;
-    // At the last check; above the limit neither may grow.
+    // The values at the previous check; above the limit neither may grow.
     int m_inUseBefore = 0;
     int m_ordinaryBefore = 0;
     std::map<std::string, int> m_openTransactions;
     std::optional<std::string> m_violation;
 };
 
-SlotSchedulerOptions trialOptions(std::uint32_t choice)
+SlotSchedulerOptions simulationOptions(std::uint32_t choice)
 {
     SlotSchedulerOptions options = desksAndParents(1 + static_cast<int>(choice % 5));
     options.limitPolicy = static_cast<LimitPolicy>(choice / 5 % 3);
@@ -385,13 +386,13 @@
     return words;
 }
 
-// Looks for a violation over many fixed seeds.
+// Returns the first violation found with fixed seeds.
 std::optional<std::string> searchViolation(const SchedulerFaults &faults)
 {
     for (std::uint32_t seed = 1; seed <= 100; ++seed) {
-        SlotSchedulerOptions options = trialOptions(seed);
+        SlotSchedulerOptions options = simulationOptions(seed);
         options.faults = faults;
-        if (auto violation = Trial(options).run(wordsOf(seed, 400))) {
+        if (auto violation = SchedulerSimulation(options).run(wordsOf(seed, 400))) {
             return violation;
         }
     }
@@ -401,23 +402,23 @@
 void expectCaught(const SchedulerFaults &faults, const std::string &mechanism)
 {
     BOOST_TEST(searchViolation(faults).has_value(),
-               "the proof does not notice that " << mechanism << " is switched off; strengthen Trial::check");
+               "the check does not detect that " << mechanism << " is disabled; strengthen SchedulerSimulation::check");
 }
 
-// Desks of low priority within their reservation, against parents of high priority
-// with an endless backlog. Counts how many parents are admitted while a desk waits.
-class ReservationRace
+// Desks of low priority within their reservation compete with parents of high priority and
+// an unlimited backlog. Counts how many parents are admitted while a desk waits.
+class ReservationSimulation
 {
 public:
-    ReservationRace(std::uint64_t seed, bool ignoreReservations) : m_scheduler(options(ignoreReservations)), m_random(seed)
+    ReservationSimulation(std::uint64_t seed, bool ignoreReservations) : m_scheduler(options(ignoreReservations)), m_random(seed)
     {
     }
 
-    int worstOvertaking()
+    int mostOvertaking()
     {
         for (int step = 0; step < 2000; ++step) {
-            askParents();
-            askDesk();
+            enqueueParents();
+            enqueueDesk();
             finishFirst();
         }
         return m_worst;
@@ -440,30 +441,30 @@
         return options;
     }
 
-    AdmissionState ask(const std::string &className)
+    AdmissionState enqueueRead(const std::string &className)
     {
         ++m_lastId;
         return m_scheduler.enqueue(ticket(m_lastId, className, 1h, StatementKind::Read, m_now), m_now).state;
     }
 
-    void askParents()
+    void enqueueParents()
     {
         while (m_scheduler.queued("parents") < 20) {
-            if (ask("parents") == AdmissionState::Admitted) {
+            if (enqueueRead("parents") == AdmissionState::Admitted) {
                 run(m_lastId);
             }
         }
     }
 
-    // Every 10 ms or later, about a fifth of the slots.
-    void askDesk()
+    // Every 10 ms or later; needs about a fifth of the slots.
+    void enqueueDesk()
     {
         if (m_now < m_nextDesk || m_waitingDesk != 0) {
             return;
         }
         m_nextDesk = m_now + 10ms;
         m_overtaking = 0;
-        if (ask("desks") == AdmissionState::Queued) {
+        if (enqueueRead("desks") == AdmissionState::Queued) {
             m_waitingDesk = m_lastId;
         }
     }
@@ -495,7 +496,7 @@
     TimePoint m_now = start;
     TimePoint m_nextDesk = start;
     std::uint64_t m_lastId = 0;
-    // The desk's ticket in the queue, 0 for none.
+    // The queued ticket of the desks, 0 if none.
     std::uint64_t m_waitingDesk = 0;
     std::multimap<TimePoint, Running> m_running;
     int m_overtaking = 0;
@@ -552,11 +553,11 @@
     BOOST_TEST(scheduler.inUse() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(LongStatementsOfOthersLeaveADeskItsSlot)
+BOOST_AUTO_TEST_CASE(LongStatementsOfOthersLeaveTheReservedSlotFree)
 {
-    // Symptom: a desk waits 150 ms though nothing of its class runs.
-    // Sequence: parents' reports of 200 ms fill both slots; a desk asks.
-    // Cause: slots lent by time share come back only as fast as the borrower ends.
+    // Statements of 200 ms of parents fill both slots when a desk arrives. With TimeShare, a
+    // lent slot is returned only when its statement ends, so the desk waits 150 ms although
+    // no statement of its class runs.
     SlotSchedulerOptions options = desksAndParents(2);
     options.reservationPolicy = ReservationPolicy::Lend;
     SlotScheduler scheduler(options);
@@ -566,14 +567,15 @@
     scheduler.finished(2, start + 200ms, 200ms);
     scheduler.enqueue(ticket(3, "parents", 10s), start + 200ms);
     const Admission second = scheduler.enqueue(ticket(4, "parents", 10s), start + 200ms);
-    BOOST_TEST((second.state == AdmissionState::Queued), "the last slot was lent for long statements while a desk is about");
+    BOOST_TEST((second.state == AdmissionState::Queued),
+               "the reserved slot was lent to long statements while the desks are active");
     BOOST_TEST((scheduler.enqueue(ticket(5, "desks", 10s), start + 210ms).state == AdmissionState::Admitted));
-    // Without a desk for a while the slot is lent again.
+    // The slot is lent again once no desk has arrived for a while.
     scheduler.finished(5, start + 220ms, 5ms);
     BOOST_TEST(scheduler.expire(start + 3s).admitted == std::vector<std::uint64_t>{4});
 }
 
-BOOST_AUTO_TEST_CASE(TenantBeyondItsShareStandsBack)
+BOOST_AUTO_TEST_CASE(TenantOverItsShareYields)
 {
     SlotSchedulerOptions options = desksAndParents(2);
     TenantSpec limited;
@@ -589,16 +591,16 @@
     for (std::uint64_t id = 1; id <= 10; ++id) {
         scheduler.enqueue(parents(id, "flooding"), start);
     }
-    BOOST_TEST(scheduler.inUse() == 2, "free slots are given also beyond the share");
+    BOOST_TEST(scheduler.inUse() == 2, "free slots must be given to a tenant over its share");
     scheduler.enqueue(parents(100, "modest"), start);
     BOOST_TEST(scheduler.finished(1, start + 1ms, 1ms).admitted == std::vector<std::uint64_t>{100});
 }
 
-BOOST_AUTO_TEST_CASE(FloodOfOneTenantDoesNotTurnOthersAway)
+BOOST_AUTO_TEST_CASE(FloodOfOneTenantCausesNoRefusalsOfOthers)
 {
-    // Symptom: a family is refused though its own tenant asks for little.
-    // Sequence: another tenant of the class queues a second of work, then it asks.
-    // Cause: the prediction counted tickets that it would be served before.
+    // One tenant queues a second of work, then another tenant of the class sends a single
+    // request. If the prediction counted tickets that yield to it, the request would be
+    // refused.
     SlotSchedulerOptions options = desksAndParents(1);
     TenantSpec limited;
     limited.name = "flooding";
@@ -626,11 +628,11 @@
     for (std::uint64_t id = 1; id <= 50; ++id) {
         scheduler.enqueue(ticket(id, "parents", 5s), start);
     }
-    // Fifty statements of about 10 ms are ahead.
+    // Fifty statements of about 10 ms are queued.
     const Admission admission = scheduler.enqueue(ticket(100, "parents", 5100ms), start);
     BOOST_TEST((admission.state == AdmissionState::Queued));
     const Admission late = scheduler.enqueue(ticket(101, "unheard of", 50ms), start);
-    BOOST_TEST((late.state == AdmissionState::Queued), "its own deadline is earlier than theirs, so it goes first");
+    BOOST_TEST((late.state == AdmissionState::Queued), "its deadline is earlier than theirs, so it goes first");
     StatementTicket sameDeadline = ticket(102, "parents", 5s);
     for (std::uint64_t id = 200; id < 700; ++id) {
         sameDeadline.id = id;
@@ -641,7 +643,7 @@
             return;
         }
     }
-    BOOST_ERROR("five seconds of work were exceeded and nothing was refused");
+    BOOST_ERROR("more than five seconds of work were queued without a refusal");
 }
 
 BOOST_AUTO_TEST_CASE(DeadlineInThePastIsRefusedEvenWithAFreeSlot)
@@ -652,7 +654,7 @@
     BOOST_TEST((admission.error->kind == ErrorKind::DeadlineExceeded));
 }
 
-BOOST_AUTO_TEST_CASE(CallersAreAskedBackOneByOne)
+BOOST_AUTO_TEST_CASE(RefusedCallersGetDifferentRetryTimes)
 {
     SlotScheduler scheduler(desksAndParents(1));
     fillSlots(scheduler, 1);
@@ -666,12 +668,12 @@
     BOOST_REQUIRE(retries.size() > 100);
     for (std::size_t index = 1; index < retries.size(); ++index) {
         BOOST_TEST(retries[index].count() > retries[index - 1].count(),
-                   "callers " << index - 1 << " and " << index << " are asked back at the same moment, " << retries[index].count()
+                   "callers " << index - 1 << " and " << index << " get the same retry time, " << retries[index].count()
                               << " ms");
     }
 }
 
-BOOST_AUTO_TEST_CASE(HopelessTicketIsRefusedBeforeItsDeadline)
+BOOST_AUTO_TEST_CASE(UnmeetableTicketIsRefusedBeforeItsDeadline)
 {
     SlotScheduler scheduler(desksAndParents(1));
     // Statements take 40 ms.
@@ -688,16 +690,16 @@
     BOOST_REQUIRE(actions.refused.size() == 1);
     BOOST_TEST((now <= start + 60ms),
                "refused " << std::chrono::duration_cast<milliseconds>(now - start).count()
-                          << " ms after it came; with 40 ms left of 100 it could not be answered");
+                          << " ms after its arrival; with 40 ms left of 100 it could not be answered");
     BOOST_TEST(actions.refused[0].id == 3);
     BOOST_TEST(scheduler.nextEventAt().time_since_epoch().count() == TimePoint::max().time_since_epoch().count());
 }
 
-BOOST_AUTO_TEST_CASE(UpstreamThatBecomesSlowHasItsQueueRefusedSoon)
+BOOST_AUTO_TEST_CASE(QueueIsRefusedSoonAfterTheUpstreamSlowsDown)
 {
-    // Symptom: callers wait out their whole timeout and then hear "not run".
-    // Sequence: a queue forms at 10 ms a statement; the upstream slows to 200 ms.
-    // Cause: a promise made on arrival was never compared with what came later.
+    // A queue forms at 10 ms a statement, then the upstream slows down to 200 ms. If the
+    // prediction were made on arrival only, callers would wait for their whole timeout
+    // before they are refused.
     SlotScheduler scheduler(desksAndParents(1));
     fillSlots(scheduler, 1);
     for (std::uint64_t id = 1; id <= 60; ++id) {
@@ -713,10 +715,10 @@
         running = next.admitted[0];
         refusedSoon += next.refused.size() + scheduler.expire(now + 60ms).refused.size();
     }
-    BOOST_TEST(refusedSoon > 40, "only " << refusedSoon << " of 58 hopeless tickets were told so");
+    BOOST_TEST(refusedSoon > 40, "only " << refusedSoon << " of 58 unmeetable tickets were refused");
 }
 
-BOOST_AUTO_TEST_CASE(FullQueueRefusesAndSaysWhenToComeBack)
+BOOST_AUTO_TEST_CASE(FullQueueRefusesWithARetryTime)
 {
     SlotSchedulerOptions options = desksAndParents(1);
     options.maximumQueued = 2;
@@ -748,10 +750,9 @@
 
 BOOST_AUTO_TEST_CASE(BacklogOfAPauseIsNoOverload)
 {
-    // Symptom: after a planned change callers are refused though the upstream could
-    // have answered them all within their deadlines.
-    // Sequence: half the capacity arrives, writes pause for a second, then resume.
-    // Cause: a long queue alone was taken for overload.
+    // Half the capacity arrives, writes pause for a second, then resume. If a long queue
+    // alone counted as overload, callers would be refused after a planned change of primary
+    // although the upstream could answer all of them within their deadlines.
     SlotScheduler scheduler(desksAndParents(1));
     std::uint64_t id = 0;
     std::uint64_t running = 0;
@@ -779,15 +780,13 @@
             finishAt = now + 10ms;
         }
     }
-    BOOST_TEST(scheduler.queued() < 10, scheduler.queued() << " still wait two seconds after the pause");
+    BOOST_TEST(scheduler.queued() < 10, scheduler.queued() << " tickets are still queued two seconds after the pause");
 }
 
-BOOST_AUTO_TEST_CASE(HopelessBacklogIsRefusedDuringThePause)
+BOOST_AUTO_TEST_CASE(UnmeetableBacklogIsRefusedDuringThePause)
 {
-    // Symptom: callers wait through a whole pause and are refused when it ends.
-    // Sequence: during a pause more writes arrive than could be answered in time
-    // even if it ended at once.
-    // Cause: while paused nothing was predicted.
+    // During a pause, more writes arrive than could be answered in time even if it ended at
+    // once. Without a prediction they would wait through the pause and be refused at its end.
     SlotScheduler scheduler(desksAndParents(1));
     scheduler.pause();
     int queued = 0;
@@ -800,7 +799,7 @@
     BOOST_TEST((scheduler.enqueue(ticket(1000, "parents", 1s), start).state == AdmissionState::Admitted));
 }
 
-BOOST_AUTO_TEST_CASE(DrainHandsBackWhatWasNeverSentAndNothingElse)
+BOOST_AUTO_TEST_CASE(RefuseAllRefusesQueuedTicketsOnly)
 {
     SlotScheduler scheduler(desksAndParents(1));
     fillSlots(scheduler, 3);
@@ -814,7 +813,7 @@
 
 BOOST_AUTO_TEST_SUITE(Transactions)
 
-BOOST_AUTO_TEST_CASE(DesksAlwaysFindAPlaceForATransaction)
+BOOST_AUTO_TEST_CASE(ReservedClassCanAlwaysOpenATransaction)
 {
     SlotScheduler scheduler(desksAndParents(5));
     for (std::uint64_t id = 1; id <= 5; ++id) {
@@ -826,12 +825,11 @@
     BOOST_TEST((scheduler.transactionEnded("parents", start).admitted.size() == 1));
 }
 
-BOOST_AUTO_TEST_CASE(StalledSlotsLetAnOpenTransactionThrough)
+BOOST_AUTO_TEST_CASE(OpenTransactionExceedsTheLimitDuringAStall)
 {
-    // Symptom: every statement of an upstream times out at once, with all slots full.
-    // Sequence: a transaction updates a row; statements that want the row fill all
-    // slots; the transaction's COMMIT queues behind them.
-    // Cause: the slots wait for a lock whose holder waits for a slot.
+    // A transaction updates a row, statements that wait for the row lock fill all slots, and
+    // the transaction's COMMIT is queued behind them. The statements wait for a lock whose
+    // holder waits for a slot, so all of them would time out.
     SlotScheduler scheduler(desksAndParents(2));
     fillSlots(scheduler, 2);
     StatementTicket commit = ticket(1, "parents", 5s, StatementKind::Commit);
@@ -842,7 +840,7 @@
         now = std::max(now + 1ms, scheduler.nextEventAt());
         scheduler.expire(now);
     }
-    BOOST_TEST(scheduler.inUse() == 3, "the COMMIT still waits after a second");
+    BOOST_TEST(scheduler.inUse() == 3, "the COMMIT is still queued after a second");
     BOOST_TEST((now < start + 200ms));
 }
 
@@ -899,11 +897,11 @@
 
 BOOST_AUTO_TEST_CASE(HoldUnderAnySequenceOfEvents)
 {
-    BOOST_TEST(rc::check("no idle slot beside a waiting ticket, no late admission, one outcome each, limits kept", [] {
+    BOOST_TEST(rc::check("no idle slot while a ticket is queued, no late admission, one outcome each, limits kept", [] {
         const auto choice = *rc::gen::inRange<std::uint32_t>(0, 90);
         const auto words =
             *rc::gen::resize(400, rc::gen::container<std::vector<std::uint32_t>>(rc::gen::arbitrary<std::uint32_t>()));
-        const auto violation = Trial(trialOptions(choice)).run(words);
+        const auto violation = SchedulerSimulation(simulationOptions(choice)).run(words);
         RC_ASSERT(violation.value_or("") == "");
     }));
     const auto violation = searchViolation({});
@@ -912,17 +910,18 @@
 
 BOOST_AUTO_TEST_CASE(ReservedClassIsOvertakenByAtMostOneRoundOfSlots)
 {
-    BOOST_TEST(rc::check("a class within its reservation waits behind at most as many others as there are slots",
-                         [] { RC_ASSERT(ReservationRace(*rc::gen::arbitrary<std::uint64_t>(), false).worstOvertaking() <= 5); }));
+    BOOST_TEST(rc::check("a class within its reservation is overtaken by at most as many others as there are slots", [] {
+        RC_ASSERT(ReservationSimulation(*rc::gen::arbitrary<std::uint64_t>(), false).mostOvertaking() <= 5);
+    }));
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesIgnoredReservations)
+BOOST_AUTO_TEST_CASE(CheckFailsWithIgnoredReservations)
 {
-    const int worst = ReservationRace(7, true).worstOvertaking();
-    BOOST_TEST(worst > 5, "without reservations only " << worst << " overtook; the proof shows nothing");
+    const int worst = ReservationSimulation(7, true).mostOvertaking();
+    BOOST_TEST(worst > 5, "without reservations only " << worst << " overtook; the check does not exercise reservations");
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesEachMechanismSwitchedOff)
+BOOST_AUTO_TEST_CASE(ChecksFailWithEachMechanismDisabled)
 {
     SchedulerFaults faults;
     faults.ignoreDeadlines = true;
