--- a/src/core/slots/classqueue.cpp
+++ b/src/core/slots/classqueue.cpp
@@ -10,10 +10,11 @@
 
 namespace
 {
-// How much reserved slot time may be saved up or overdrawn, in seconds of the
-// reservation. Longer lets bursts through whole; shorter forgives sooner.
+// How much reserved slot time may be saved or overdrawn, in seconds of the reservation.
+// A higher value admits longer bursts; a lower one recovers sooner from overuse.
 constexpr double creditSeconds = 0.25;
-// A reservation below one statement could never let one through.
+// The minimum credit bound, in statements: a bound below the cost of one statement would
+// never admit any.
 constexpr double creditStatements = 2.0;
 } // namespace
 
@@ -76,14 +77,14 @@
     m_credit = std::clamp(m_credit - slotSeconds, -m_creditBound, m_creditBound);
 }
 
-void ClassQueue::noteArrival(bool waitsTooLong, bool asksTooMuch, milliseconds interval, TimePoint now)
+void ClassQueue::noteArrival(bool waitsTooLong, bool exceedsCapacity, milliseconds interval, TimePoint now)
 {
     if (!waitsTooLong) {
         m_standingSince = TimePoint::max();
-        m_overloaded = m_overloaded && asksTooMuch;
+        m_overloaded = m_overloaded && exceedsCapacity;
         return;
     }
-    if (!asksTooMuch) {
+    if (!exceedsCapacity) {
         return;
     }
     m_standingSince = std::min(m_standingSince, now);
--- a/src/core/slots/slotscheduler.cpp
+++ b/src/core/slots/slotscheduler.cpp
@@ -1,5 +1,5 @@
 // The decisions of the scheduler: admission, refusal, and the choice of the next
-// ticket. What they rest on is in SlotState.
+// ticket. The state and the predictions behind them are in SlotState.
 
 #include "egrettide/core/slotscheduler.h"
 
@@ -28,14 +28,14 @@
 namespace
 {
 
-// How often queued tickets are compared with the prediction again.
+// How often the predictions for queued tickets are checked again.
 constexpr milliseconds recheckInterval{50};
-// A queued ticket is given up by prediction only when it would be late by this
-// factor, because predictions err both ways.
+// A queued ticket is refused by prediction only if its predicted answer exceeds the
+// remaining time by this factor, since predictions err in both directions.
 constexpr double predictionSlack = 1.25;
-// Refused callers are asked back at this part of the drain rate, which leaves the
-// rest to callers that come for the first time.
-constexpr double appointmentPart = 0.5;
+// Refused callers are spread over this fraction of the service rate, which leaves the
+// rest to new requests.
+constexpr double retryDrainFraction = 0.5;
 constexpr milliseconds shortestRetryAfter{1};
 
 } // namespace
@@ -51,7 +51,7 @@
     SlotActions transactionEnded(std::string_view className, TimePoint now);
     SlotActions expire(TimePoint now);
     bool withdraw(std::uint64_t id);
-    std::vector<TicketRefusal> drainAll(const Error &error);
+    std::vector<TicketRefusal> refuseAll(const Error &error);
     TimePoint nextEventAt() const;
 
     detail::SlotState m_state;
@@ -77,18 +77,18 @@
     std::optional<Pick> pickContinuation();
     std::optional<Pick> pickOrdinary(TimePoint now);
     const WaitingTicket *candidate(ClassQueue &queue, TimePoint now);
-    bool goesBefore(const Pick &left, const Pick &right) const;
+    bool precedes(const Pick &left, const Pick &right) const;
     void admit(const Pick &pick, TimePoint now, SlotActions &actions);
     void accrueAll(TimePoint now);
 
-    // Refusal of what already waits.
-    void refuseHopeless(SlotActions &actions, TimePoint now);
+    // Refusal of queued tickets.
+    void refuseUnmeetable(SlotActions &actions, TimePoint now);
     void refuseExpired(ClassQueue &queue, Lane lane, SlotActions &actions, TimePoint now);
     void demoteLate(ClassQueue &queue, Lane lane, std::uint64_t id, TimePoint now);
     void refusePredicted(ClassQueue &queue, SlotActions &actions, TimePoint now);
     void refuse(ClassQueue &queue, std::uint64_t id, Lane lane, Error error, SlotActions &actions);
 
-    // When queued tickets are compared with the prediction again.
+    // When the predictions for queued tickets are checked next.
     TimePoint m_nextRecheck = TimePoint::min();
 };
 
@@ -106,14 +106,14 @@
 
 bool SlotScheduler::Impl::isDuplicate(const StatementTicket &ticket) const
 {
-    return m_state.places.contains(ticket.id) || m_state.inUse.contains(ticket.id);
+    return m_state.ticketLocations.contains(ticket.id) || m_state.inUse.contains(ticket.id);
 }
 
 Admission SlotScheduler::Impl::enqueue(const StatementTicket &ticket, TimePoint now)
 {
     if (isDuplicate(ticket)) {
         return {AdmissionState::Refused,
-                Error{ErrorKind::InvalidInput, "The ticket is here already; give each statement an id of its own."}};
+                Error{ErrorKind::InvalidInput, "A ticket with this id exists already; give each statement a unique id."}};
     }
     ClassQueue &queue = m_state.classOf(ticket.className);
     queue.lastSeen = now;
@@ -126,10 +126,10 @@
     if (m_state.queuedTickets == 0) {
         m_nextRecheck = now + recheckInterval;
     }
-    m_state.place(queue, lane, ticket, due, now);
+    m_state.addTicket(queue, lane, ticket, due, now);
 
-    // Only this ticket may go here, as the caller learns of no other. Should another
-    // have become admissible by the mere passing of time, expire() is due at once.
+    // Only this ticket may be admitted here, since enqueue() reports no other. If another
+    // one has become admissible with time, expire() is due at once.
     accrueAll(now);
     const auto pick = pickNext(now);
     if (!pick) {
@@ -152,7 +152,7 @@
     }
     if (ticket.deadline <= now) {
         return Error{ErrorKind::DeadlineExceeded,
-                     "The deadline had passed on arrival; nothing was sent. Ask again with a longer timeout."};
+                     "The deadline had passed on arrival; nothing was sent. Retry with a longer timeout."};
     }
     const Lane lane = detail::laneOf(ticket);
     if (m_state.queuedTickets >= m_state.options.maximumQueued) {
@@ -160,8 +160,8 @@
         return overloaded(queue, wait, ticket.deadline, now, "the queue is full");
     }
     if (lane == Lane::Continuation) {
-        // An open transaction holds locks, so its next statement is never turned
-        // away by a guess.
+        // An open transaction may hold locks, so its statements are never refused by
+        // prediction.
         return std::nullopt;
     }
     if (!m_state.isLaneOpen(queue, lane)) {
@@ -169,11 +169,11 @@
     }
     const double wait =
         std::max(m_state.expectedWaitSeconds(queue, lane, due, now), m_state.tenantWaitSeconds(queue, lane, ticket.tenant, now));
-    // A backlog that shrinks, as after a pause, is no overload: its tickets and the
-    // arrivals behind them are all answered in time.
+    // A backlog that shrinks, as after a pause, is no overload: its tickets and those
+    // that arrive later are all answered in time.
     const bool waitsTooLong = Seconds(wait) > m_state.options.standingTarget;
-    const bool asksTooMuch = m_state.offeredBeside(queue, now) > m_state.slotsFor(queue, now);
-    queue.noteArrival(waitsTooLong, asksTooMuch, m_state.options.standingInterval, now);
+    const bool exceedsCapacity = m_state.offeredAtPriorityOf(queue, now) > m_state.slotsFor(queue, now);
+    queue.noteArrival(waitsTooLong, exceedsCapacity, m_state.options.standingInterval, now);
     if (wait <= 0) {
         return std::nullopt;
     }
@@ -182,7 +182,8 @@
     }
     const bool bounded = m_state.options.discipline == QueueDiscipline::BoundedStanding && m_state.isOverloaded(queue);
     if (bounded && waitsTooLong) {
-        return overloaded(queue, wait, now + m_state.options.standingTarget, now, "more arrives than the upstream can answer");
+        return overloaded(queue, wait, now + m_state.options.standingTarget, now,
+                          "more requests arrive than the upstream can answer");
     }
     return std::nullopt;
 }
@@ -190,13 +191,13 @@
 std::optional<Error> SlotScheduler::Impl::refusalWhileBlocked(ClassQueue &queue, Lane lane, const StatementTicket &ticket,
                                                               TimePoint due, TimePoint now)
 {
-    // Nobody can say when a pause ends or a transaction does. But what could not be
-    // answered in time if it ended now is hopeless, and its caller hears so now.
+    // The end of a pause or of a transaction can't be predicted. Refuses what would be
+    // late even if the lane opened now.
     const double wait = m_state.workAhead(queue, lane, due, now) / m_state.slotsFor(queue, now);
     if (now + toNanoseconds(wait) <= m_state.latestStart(queue, lane, ticket.deadline)) {
         return std::nullopt;
     }
-    return overloaded(queue, wait, ticket.deadline, now, "too much waits for writes or transactions to go on");
+    return overloaded(queue, wait, ticket.deadline, now, "too many requests wait for writes to resume or transactions to end");
 }
 
 Error SlotScheduler::Impl::overloaded(ClassQueue &queue, double waitSeconds, TimePoint deadline, TimePoint now,
@@ -207,7 +208,7 @@
     error.retryAfter = retryAfter(queue, waitSeconds, deadline, now);
     error.message =
         absl::StrCat("Not run: ", std::string(cause), ", about ", std::lround(waitSeconds * 1000),
-                     " ms of work are ahead. Ask again in ", static_cast<std::int64_t>(error.retryAfter.count()), " ms.");
+                     " ms of work are queued. Retry in ", static_cast<std::int64_t>(error.retryAfter.count()), " ms.");
     return error;
 }
 
@@ -216,10 +217,10 @@
     const double excess = waitSeconds - Seconds(deadline - now).count();
     const double service = m_state.serviceSeconds(queue);
     const auto earliest = now + toNanoseconds(std::max(excess, service));
-    const auto step = toNanoseconds(service / (m_state.slotsFor(queue, now) * appointmentPart));
+    const auto step = toNanoseconds(service / (m_state.slotsFor(queue, now) * retryDrainFraction));
     const TimePoint latest = now + m_state.options.maximumRetryAfter;
-    queue.nextAppointment = std::min(std::max(queue.nextAppointment, earliest) + step, latest);
-    const auto wait = std::chrono::ceil<milliseconds>(queue.nextAppointment - now);
+    queue.nextRetryAt = std::min(std::max(queue.nextRetryAt, earliest) + step, latest);
+    const auto wait = std::chrono::ceil<milliseconds>(queue.nextRetryAt - now);
     return std::max(wait, shortestRetryAfter);
 }
 
@@ -284,16 +285,16 @@
 
 bool SlotScheduler::Impl::withdraw(std::uint64_t id)
 {
-    const auto found = m_state.places.find(id);
-    if (found == m_state.places.end()) {
+    const auto found = m_state.ticketLocations.find(id);
+    if (found == m_state.ticketLocations.end()) {
         return false;
     }
     const auto [className, lane] = found->second;
-    m_state.unplace(m_state.classOf(className), lane, id);
+    m_state.removeTicket(m_state.classOf(className), lane, id);
     return true;
 }
 
-std::vector<TicketRefusal> SlotScheduler::Impl::drainAll(const Error &error)
+std::vector<TicketRefusal> SlotScheduler::Impl::refuseAll(const Error &error)
 {
     SlotActions actions;
     for (auto &[name, queue] : m_state.classes) {
@@ -308,7 +309,7 @@
 
 void SlotScheduler::Impl::dispatch(SlotActions &actions, TimePoint now)
 {
-    refuseHopeless(actions, now);
+    refuseUnmeetable(actions, now);
     accrueAll(now);
     while (const auto pick = pickNext(now)) {
         admit(*pick, now, actions);
@@ -329,9 +330,9 @@
     }
     const int inUse = static_cast<int>(m_state.inUse.size());
     const bool hasSlot = inUse < m_state.concurrency.current() || m_state.options.faults.ignoreLimit;
-    // When every slot waits for a lock that an open transaction holds, only that
-    // transaction's next statement can end the wait. One notices slots full and no
-    // answer at all. So it goes above the limit, by a margin, after a stall.
+    // If all running statements wait for a lock that an open transaction holds, only that
+    // transaction's next statement can end the wait: the slots stay full without any
+    // answer. After a stall it may therefore exceed the limit by a margin.
     const bool mayExceed = m_state.isStalled(now) && inUse < m_state.options.slots + m_state.options.limitMargin;
     if (hasSlot || mayExceed) {
         if (auto pick = pickContinuation()) {
@@ -343,8 +344,8 @@
 
 std::optional<SlotScheduler::Impl::Pick> SlotScheduler::Impl::pickContinuation()
 {
-    // Open transactions go before everything: they hold a connection and perhaps
-    // locks that others, also of higher priority, wait for.
+    // Open transactions go before all other work: they hold a connection, and perhaps
+    // locks that statements of higher priority wait for.
     std::optional<Pick> best;
     for (auto &[name, queue] : m_state.classes) {
         const WaitingTicket *waiting = queue.lane(Lane::Continuation).first();
@@ -352,7 +353,7 @@
             continue;
         }
         const Pick pick{&queue, waiting, false};
-        if (!best || goesBefore(pick, *best)) {
+        if (!best || precedes(pick, *best)) {
             best = pick;
         }
     }
@@ -374,18 +375,18 @@
         }
         ++competing;
         const Pick pick{&queue, waiting, queue.isInCredit() && !m_state.options.faults.ignoreReservations};
-        if (!best || goesBefore(pick, *best)) {
+        if (!best || precedes(pick, *best)) {
             best = pick;
         }
     }
     if (best && competing == 1) {
-        // Slots that nobody else wants cost the reservation nothing.
+        // Without competing classes, the slot is not charged to the reservation.
         best->fromReservation = false;
     }
     return best;
 }
 
-bool SlotScheduler::Impl::goesBefore(const Pick &left, const Pick &right) const
+bool SlotScheduler::Impl::precedes(const Pick &left, const Pick &right) const
 {
     if (left.fromReservation != right.fromReservation) {
         return left.fromReservation;
@@ -401,20 +402,20 @@
 
 const WaitingTicket *SlotScheduler::Impl::candidate(ClassQueue &queue, TimePoint now)
 {
-    const auto standsBackNow = [this, now](const std::string &tenant) { return m_state.standsBack(tenant, now); };
+    const auto isOverShareNow = [this, now](const std::string &tenant) { return m_state.isOverShare(tenant, now); };
     const WaitingTicket *best = nullptr;
-    bool bestStandsBack = false;
+    bool bestIsOverShare = false;
     for (const Lane lane : detail::allLanes) {
         if (lane == Lane::Continuation || queue.lane(lane).empty() || !m_state.isLaneOpen(queue, lane)) {
             continue;
         }
         const TicketLane &tickets = queue.lane(lane);
-        const WaitingTicket *waiting = tickets.firstFair(standsBackNow);
-        const bool waitingStandsBack = standsBackNow(waiting->tenant());
-        const bool earlier = best == nullptr || (waitingStandsBack == bestStandsBack && waiting->key < best->key);
-        if (earlier || (bestStandsBack && !waitingStandsBack)) {
+        const WaitingTicket *waiting = tickets.firstWithinShare(isOverShareNow);
+        const bool waitingIsOverShare = isOverShareNow(waiting->tenant());
+        const bool earlier = best == nullptr || (waitingIsOverShare == bestIsOverShare && waiting->key < best->key);
+        if (earlier || (bestIsOverShare && !waitingIsOverShare)) {
             best = waiting;
-            bestStandsBack = waitingStandsBack;
+            bestIsOverShare = waitingIsOverShare;
         }
     }
     return best;
@@ -425,7 +426,7 @@
     ClassQueue &queue = *pick.queue;
     const std::uint64_t id = pick.waiting->id();
     const Lane lane = detail::laneOf(pick.waiting->ticket);
-    const WaitingTicket taken = m_state.unplace(queue, lane, id);
+    const WaitingTicket taken = m_state.removeTicket(queue, lane, id);
     m_state.progressAt = now;
 
     const double charged = m_state.serviceSeconds(queue);
@@ -450,7 +451,7 @@
     }
 }
 
-void SlotScheduler::Impl::refuseHopeless(SlotActions &actions, TimePoint now)
+void SlotScheduler::Impl::refuseUnmeetable(SlotActions &actions, TimePoint now)
 {
     if (m_state.queuedTickets == 0 || m_state.options.faults.ignoreDeadlines) {
         return;
@@ -473,16 +474,16 @@
             continue;
         }
         Error error =
-            overloaded(queue, m_state.serviceSeconds(queue), waiting->ticket.deadline, now, "its deadline can't be met any more");
+            overloaded(queue, m_state.serviceSeconds(queue), waiting->ticket.deadline, now, "its deadline can no longer be met");
         refuse(queue, waiting->id(), lane, std::move(error), actions);
     }
 }
 
-// It is late already; from now on it makes way for those that need not be.
+// Moves a ticket that can no longer meet its objective behind those that can.
 void SlotScheduler::Impl::demoteLate(ClassQueue &queue, Lane lane, std::uint64_t id, TimePoint now)
 {
-    const WaitingTicket late = m_state.unplace(queue, lane, id);
-    m_state.place(queue, lane, late.ticket, late.ticket.deadline, now);
+    const WaitingTicket late = m_state.removeTicket(queue, lane, id);
+    m_state.addTicket(queue, lane, late.ticket, late.ticket.deadline, now);
 }
 
 void SlotScheduler::Impl::refusePredicted(ClassQueue &queue, SlotActions &actions, TimePoint now)
@@ -509,7 +510,7 @@
         const double remaining = Seconds(ticket->ticket.deadline - now).count();
         if (wait + service > remaining * predictionSlack) {
             Error error =
-                overloaded(queue, wait, ticket->ticket.deadline, now, "the upstream has become too slow for its deadline");
+                overloaded(queue, wait, ticket->ticket.deadline, now, "the upstream has become too slow to meet its deadline");
             refuse(queue, ticket->id(), lane, std::move(error), actions);
         } else {
             wait += step;
@@ -519,7 +520,7 @@
 
 void SlotScheduler::Impl::refuse(ClassQueue &queue, std::uint64_t id, Lane lane, Error error, SlotActions &actions)
 {
-    m_state.unplace(queue, lane, id);
+    m_state.removeTicket(queue, lane, id);
     actions.refused.push_back({id, std::move(error)});
 }
 
@@ -597,9 +598,9 @@
     return m_impl->m_state.isPaused;
 }
 
-std::vector<TicketRefusal> SlotScheduler::drainAll(const Error &error)
+std::vector<TicketRefusal> SlotScheduler::refuseAll(const Error &error)
 {
-    return m_impl->drainAll(error);
+    return m_impl->refuseAll(error);
 }
 
 TimePoint SlotScheduler::nextEventAt() const
@@ -609,9 +610,9 @@
 
 milliseconds SlotScheduler::expectedWait(std::string_view className, TimePoint now) const
 {
-    const ClassQueue unheardOf(ClassSpec{}, Seconds(m_impl->m_state.options.initialServiceTime).count());
+    const ClassQueue unknownClass(ClassSpec{}, Seconds(m_impl->m_state.options.initialServiceTime).count());
     const ClassQueue *found = m_impl->m_state.findClass(className);
-    const ClassQueue &queue = found == nullptr ? unheardOf : *found;
+    const ClassQueue &queue = found == nullptr ? unknownClass : *found;
     const double seconds = m_impl->m_state.expectedWaitSeconds(queue, Lane::Read, now + queue.spec().timeout, now);
     return std::chrono::ceil<milliseconds>(Seconds(seconds));
 }
--- a/src/core/slots/slotstate.cpp
+++ b/src/core/slots/slotstate.cpp
@@ -1,5 +1,4 @@
-// Bookkeeping of waiting tickets, and the prediction of waits on which immediate
-// refusals rest.
+// Bookkeeping of queued tickets, and the predicted waits on which refusals rest.
 
 #include "core/slots/slotstate.h"
 
@@ -13,17 +12,17 @@
 namespace
 {
 
-// Class names that no configuration knows get a queue of their own up to here;
-// beyond, they share one, so that made-up names cannot fill the memory.
+// Beyond this number, class names that are not configured share one queue, so that
+// callers can't exhaust the memory with arbitrary names.
 constexpr std::size_t maximumClasses = 256;
 constexpr const char *overflowClass = "";
-// While a slot is lent for long, its owner counts as about for this long.
-constexpr milliseconds ownerPresence{2000};
-// Statements that take less than this part of others' time are the shorter ones; closer
-// estimates may only differ by chance.
-constexpr double clearlyShorter = 1.25;
-// The least part of the slots that a class is taken to get in the long run.
-constexpr double leastPart = 0.05;
+// For ReservationPolicy::Lend, a class counts as active for this long after an arrival.
+constexpr milliseconds ownerActiveWindow{2000};
+// Statements of one class count as shorter if those of the other take longer by this
+// factor; closer estimates may differ by chance.
+constexpr double shorterFactor = 1.25;
+// The minimum fraction of the slots that predictions assume for a class.
+constexpr double minimumFraction = 0.05;
 
 } // namespace
 
@@ -96,20 +95,20 @@
     return spec != nullptr && spec->share < 1;
 }
 
-void SlotState::place(ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint due, TimePoint now)
+void SlotState::addTicket(ClassQueue &queue, Lane lane, const StatementTicket &ticket, TimePoint due, TimePoint now)
 {
     queue.lane(lane).insert({ticket, {due, nextSequence++}, now});
-    places.emplace(ticket.id, std::make_pair(queue.spec().name, lane));
+    ticketLocations.emplace(ticket.id, std::make_pair(queue.spec().name, lane));
     ++queuedTickets;
     if (isShareLimited(ticket.tenant)) {
         ++limitedQueued[ticket.tenant];
     }
 }
 
-WaitingTicket SlotState::unplace(ClassQueue &queue, Lane lane, std::uint64_t id)
+WaitingTicket SlotState::removeTicket(ClassQueue &queue, Lane lane, std::uint64_t id)
 {
     WaitingTicket taken = *queue.lane(lane).take(id);
-    places.erase(id);
+    ticketLocations.erase(id);
     --queuedTickets;
     const auto limited = limitedQueued.find(taken.tenant());
     if (limited != limitedQueued.end() && --limited->second <= 0) {
@@ -146,9 +145,9 @@
     if (options.faults.ignoreTransactionLimit) {
         return true;
     }
-    // Places that reservations of other classes have not taken up stay free: an
-    // open transaction holds its connection for as long as its caller thinks, so a
-    // lent place, unlike a lent slot, would not come back soon.
+    // Transactions reserved for other classes stay free. They are never lent: an open
+    // transaction holds its connection between statements, for as long as its caller
+    // leaves it open, so unlike a lent slot it would not be returned soon.
     int held = 0;
     for (const auto &[name, other] : classes) {
         if (&other != &queue) {
@@ -170,8 +169,8 @@
     }
     int held = 0;
     for (const auto &[name, owner] : classes) {
-        const bool about = owner.lastSeen != TimePoint::min() && now < owner.lastSeen + ownerPresence;
-        if (&owner == &queue || owner.spec().reservedShare <= 0 || (lend && !about)) {
+        const bool isActive = owner.lastSeen != TimePoint::min() && now < owner.lastSeen + ownerActiveWindow;
+        if (&owner == &queue || owner.spec().reservedShare <= 0 || (lend && !isActive)) {
             continue;
         }
         const double share = owner.spec().reservedShare * concurrency.current();
@@ -181,7 +180,7 @@
     return std::min(held, concurrency.current() - 1);
 }
 
-bool SlotState::standsBack(const std::string &tenant, TimePoint now) const
+bool SlotState::isOverShare(const std::string &tenant, TimePoint now) const
 {
     if (!isShareLimited(tenant)) {
         return false;
@@ -216,7 +215,7 @@
     for (const auto &[name, queue] : classes) {
         reserved += queue.spec().reservedShare;
     }
-    return concurrency.current() * std::max(leastPart, 1 - reserved);
+    return concurrency.current() * std::max(minimumFraction, 1 - reserved);
 }
 
 double SlotState::slotsFor(const ClassQueue &queue, TimePoint now) const
@@ -235,10 +234,10 @@
         }
     }
     slots = std::min(slots, limit - heldBackFrom(queue, now));
-    return std::max({slots, queue.spec().reservedShare * limit, leastPart * limit});
+    return std::max({slots, queue.spec().reservedShare * limit, minimumFraction * limit});
 }
 
-double SlotState::offeredBeside(const ClassQueue &queue, TimePoint now) const
+double SlotState::offeredAtPriorityOf(const ClassQueue &queue, TimePoint now) const
 {
     double offered = 0;
     for (const auto &[name, other] : classes) {
@@ -259,16 +258,16 @@
     if (left.spec().priority != right.spec().priority) {
         return left.spec().priority > right.spec().priority;
     }
-    return options.shortFirst && isOverloaded(left) && serviceSeconds(left) * clearlyShorter < serviceSeconds(right);
+    return options.shortFirst && isOverloaded(left) && serviceSeconds(left) * shorterFactor < serviceSeconds(right);
 }
 
 std::size_t SlotState::countAhead(const TicketLane &tickets, TimePoint due, TimePoint now) const
 {
-    // Tickets of a tenant that stands back are passed over. Counting them would turn
-    // other tenants away because of one that floods the queue.
+    // Tickets of tenants over their share don't count, since they are passed over. If they
+    // did, a tenant that floods the queue would cause refusals for the others.
     std::size_t passedOver = 0;
     for (const auto &[tenant, count] : limitedQueued) {
-        if (standsBack(tenant, now)) {
+        if (isOverShare(tenant, now)) {
             passedOver += tickets.countOf(tenant);
         }
     }
@@ -283,7 +282,7 @@
         const double service = serviceSeconds(other);
         for (const Lane otherLane : detail::allLanes) {
             const TicketLane &tickets = other.lane(otherLane);
-            // What is blocked is ahead only of what is blocked as well.
+            // Blocked tickets are only ahead of other blocked tickets.
             if (tickets.empty() || (!isLaneOpen(other, otherLane) && isLaneOpen(queue, lane))) {
                 continue;
             }
@@ -305,7 +304,7 @@
     if (free > heldBackFrom(queue, now)) {
         return 0;
     }
-    // Slots that gave nothing back for long are slower than their last answers say.
+    // While no slot is freed, the recent service time underestimates the wait.
     const double untilNextSlot = std::max(overallService.recent() / limit, stalledSeconds(now));
     const double unreserved = workAhead(queue, lane, due, now) / slotsFor(queue, now);
     if (!queue.isInCredit()) {
@@ -322,10 +321,10 @@
 
 double SlotState::tenantWaitSeconds(const ClassQueue &queue, Lane lane, const std::string &tenant, TimePoint now) const
 {
-    if (!standsBack(tenant, now)) {
+    if (!isOverShare(tenant, now)) {
         return 0;
     }
-    const double slots = std::max(leastPart, tenantSpec(tenant)->share) * unreservedSlots();
+    const double slots = std::max(minimumFraction, tenantSpec(tenant)->share) * unreservedSlots();
     return static_cast<double>(queue.lane(lane).countOf(tenant)) * serviceSeconds(queue) / slots;
 }
 
@@ -341,7 +340,7 @@
 
 TimePoint SlotState::latestStart(const ClassQueue &queue, Lane lane, TimePoint deadline) const
 {
-    // A statement of an open transaction is tried to the last moment.
+    // Statements of open transactions are admitted up to their deadline.
     return lane == Lane::Continuation ? deadline : deadline - toNanoseconds(serviceSeconds(queue));
 }
 
