--- a/include/egrettide/core/catalogversion.h
+++ b/include/egrettide/core/catalogversion.h
@@ -1,5 +1,5 @@
-// How new a host's copy of the catalog is: of what the store holds of the operators' intent
-// and of the upstreams' registrations.
+// Versions of a host's copy of the catalog. The catalog is what the store holds of the
+// operators' intent and of the upstreams' registrations.
 
 #pragma once
 
@@ -10,12 +10,12 @@
 namespace egrettide
 {
 
-// What a copy holds: the version that operators gave their intent, which only rises, whatever
-// becomes of the store; and the store's revision at which the registrations last changed.
+// The version of a copy: that of the operators' intent, which never decreases, even if the
+// store is restored; and the store revision at which the registrations last changed.
 //
-// The order is for heartbeats, which say whom to ask. Of two copies neither of which covers
-// the other, one is greater; whoever lacks something of it asks for it, and is greater then:
-// so all end with the same. What is taken over is decided by lacks().
+// The total order is used for heartbeats, to decide which host to ask. Of two copies of
+// which neither covers the other, one is still greater; the other host asks for it and then
+// holds a greater version, so that all hosts converge. lacks() decides what is adopted.
 struct CatalogVersion {
     std::uint64_t intent = 0;
     std::uint64_t registrations = 0;
@@ -27,20 +27,21 @@
         return std::tie(intent, registrations) < std::tie(other.intent, other.registrations);
     }
 
-    // True when `other` is newer in either collection.
+    // True if `other` is newer in at least one of the two collections.
     bool lacks(const CatalogVersion &other) const
     {
         return other.intent > intent || other.registrations > registrations;
     }
 };
 
-// The revisions of the store up to which the two collections of a copy were read.
+// The store revisions up to which the two collections of a copy were read.
 struct CatalogRevisions {
     std::uint64_t intent = 0;
     std::uint64_t registrations = 0;
 
     bool operator==(const CatalogRevisions &) const = default;
 
+    // The greater revision of each collection.
     CatalogRevisions joined(const CatalogRevisions &other) const
     {
         return {std::max(intent, other.intent), std::max(registrations, other.registrations)};
--- a/include/egrettide/core/clock.h
+++ b/include/egrettide/core/clock.h
@@ -1,4 +1,4 @@
-// The clock that every deadline and age of a host is taken from.
+// The monotonic clock for all deadlines and ages on a host.
 
 #pragma once
 
@@ -8,12 +8,12 @@
 namespace egrettide
 {
 
-// Steady, and counts the time in which the whole machine was suspended.
+// Steady, and includes the time for which the machine was suspended.
 //
-// What goes wrong with a clock that stands still meanwhile: a host sleeps for four
-// seconds and wakes up with a position of the primary that it takes for a tenth of a
-// second old. It serves reads that are far older than their callers accept, and no timer
-// is late by that clock, so nothing shows.
+// With a clock that stops during suspension, a host suspended for four seconds would
+// resume with a primary position that looks a tenth of a second old, and serve reads far
+// older than their callers accept. No timer is late by such a clock, so the fault would
+// go undetected.
 class Clock
 {
 public:
--- a/include/egrettide/core/configuration.h
+++ b/include/egrettide/core/configuration.h
@@ -1,6 +1,6 @@
-// The operators' whole intent, as one declarative file states it: database
-// services with their upstreams, rules of freshness and durability, classes and
-// tenants. A configuration is accepted whole or not at all.
+// The operators' intent as stated in one declarative file: database services with
+// their upstreams, freshness and durability rules, classes and tenants. A configuration
+// is accepted as a whole or not at all.
 
 #pragma once
 
@@ -20,10 +20,10 @@
 
 // When a write is acknowledged.
 enum class Durability {
-    // Once a majority of the group holds it: survives the loss of the primary.
+    // Once a majority of the group holds it: it survives the loss of the primary.
     Majority,
-    // Once the primary has it: faster, and a failover may lose acknowledged
-    // writes. The file has to say so.
+    // Once the primary holds it: faster, but a failover may lose acknowledged writes. Has
+    // to be set explicitly in the file.
     PrimaryOnly,
 };
 
@@ -32,16 +32,16 @@
     // "IP:port".
     std::string address;
     std::string zone;
-    // Statements it runs at once without queueing.
+    // The number of statements that it runs concurrently without queueing.
     int slots = 1;
-    // Connections it accepts.
+    // The number of connections that it accepts.
     int connections = 1;
-    // True while operators are taking it away: it gets no new work.
+    // True while operators take it out of service: it gets no new work.
     bool leaving = false;
-    // The time of day at which its process started, where it tells it. Only compared
-    // with other starts at the same address.
+    // The wall-clock time at which its process started, if the registration states it. Only
+    // compared with other start times at the same address.
     std::optional<milliseconds> startedAt{};
-    // Heartbeats that its process had sent when it last told something new.
+    // The number of heartbeats that its process had sent when its registration last changed.
     std::uint64_t heartbeats = 0;
 };
 
@@ -49,101 +49,103 @@
     std::string name;
     std::vector<UpstreamSpec> upstreams;
     Durability durability = Durability::Majority;
-    // For callers that do not ask: the oldest state a read may show on top of
-    // the session's own floor; unset means the floor alone.
+    // The default maximum age of the state that a read shows, in addition to the session's
+    // floor (the mark that its reads must reach); unset: the floor only.
     std::optional<milliseconds> maxAge;
-    // How long a read may wait for a replica before it goes to the primary. Waits
-    // end as soon as the replica is ready and are not begun when they would be in
-    // vain, so a generous bound costs little; see docs/MEASUREMENTS.md.
+    // How long a read may wait for a replica before it goes to the primary. A wait ends as
+    // soon as the replica is fresh enough and does not start if it could not succeed, so a
+    // generous bound costs little; see docs/MEASUREMENTS.md.
     milliseconds replicaWait{100};
 
     const UpstreamSpec *upstream(std::string_view upstreamName) const;
 };
 
-// A class of callers, such as desks or parents.
+// A class of callers, such as desks or parents. Classes share the slots of upstreams.
 struct ClassSpec {
     std::string name;
-    // The part of an upstream's slots kept for this class, 0 to 1.
+    // The fraction of an upstream's slots that is reserved for this class, 0 to 1.
     double reservedShare = 0;
-    // The deadline of statements whose caller names none.
+    // The timeout of statements whose caller sets none.
     milliseconds timeout{5000};
-    // Higher goes first when unreserved slots are scarce.
+    // Classes of higher priority get unreserved slots first.
     int priority = 0;
 };
 
-// How many requests a workspace may make over all hosts together. A transaction counts
-// once.
+// The rate of requests that a workspace may make, over all hosts together. A transaction
+// counts as one request.
 struct RequestQuota {
     double perSecond = 0;
-    // What it may ask at once beyond that.
+    // The number of requests that it may make at once beyond that rate.
     double burst = 0;
 
     friend bool operator==(const RequestQuota &, const RequestQuota &) = default;
 };
 
-// A workspace: one customer, whose callers show a key of it or name it as their user.
+// A workspace (tenant): one customer. Its callers present one of its keys or give its name
+// as their user name.
 struct TenantSpec {
     std::string name;
     std::string className;
-    // Empty means that no password is asked for, unless there are keys.
+    // Empty: no password is required, unless there are keys.
     std::string password;
-    // The part of unreserved slots it may take while others wait, 0 to 1.
+    // The fraction of the unreserved slots that it may use while others wait, 0 to 1.
     double share = 1.0;
-    // Each lets a caller in; all are worth the same. Secrets: they appear in no log, no
-    // difference that operators read, and on no connection to an upstream.
+    // Each of them authenticates a caller; all are equivalent. Keys are secrets: they must
+    // not appear in logs, in configuration diffs or on connections to upstreams.
     std::vector<std::string> keys{};
-    // Unset: as many requests as it likes.
+    // Unset: unlimited.
     std::optional<RequestQuota> quota{};
 
     bool holdsKey(std::string_view key) const;
 };
 
-// How fresh the reads of a route have to be.
+// The freshness that the reads of a route require.
 enum class RouteFreshness {
-    // Every acknowledged write is seen; only the primary can serve them.
+    // Reads see every acknowledged write; only the primary can serve them.
     Latest,
-    // The session's own writes are seen, and nothing older than RouteSpec::maxAge.
+    // Reads see the session's own writes and no state older than RouteSpec::maxAge.
     OwnWrites,
-    // Nothing older than RouteSpec::maxAge is shown.
+    // Reads see no state older than RouteSpec::maxAge.
     Bounded,
 };
 
-// A name under which callers reach a database, with what holds for their statements.
+// A name under which callers reach a database, with the rules for their statements.
 struct RouteSpec {
     std::string name;
     std::string database;
     RouteFreshness freshness = RouteFreshness::OwnWrites;
     // Unset: any age.
     std::optional<milliseconds> maxAge;
-    // The deadline of one statement, counted from its receipt.
+    // The timeout of one statement, counted from its receipt.
     milliseconds timeout{5000};
-    // How long a whole operation may take to be of full use to its caller.
+    // The latency objective of a whole operation.
     std::optional<milliseconds> latencyObjective;
-    // The class that its statements count under.
+    // The class to which its statements belong.
     std::string className;
-    // True to serve callers whose key nobody holds; by default they are refused.
+    // True to serve callers whose key belongs to no tenant; by default they are refused.
     bool admitsUnknownKeys = false;
 };
 
 struct Configuration {
-    // Set by the store; only rises.
+    // Assigned by the store; never decreases.
     std::uint64_t version = 0;
-    // Names one attempt to apply a file, so that a lost answer can be resolved.
+    // Identifies one attempt to apply a file, so that the outcome of an attempt whose answer
+    // was lost can be determined.
     std::string applyId;
     std::vector<DatabaseSpec> databases;
     std::vector<ClassSpec> classes;
     std::vector<TenantSpec> tenants;
-    // True where callers of routes have to show the key of a tenant.
+    // True if callers of routes have to present the key of a tenant.
     bool asksForKeys = false;
     std::vector<RouteSpec> routes;
-    // How long a transaction may send nothing before it is rolled back; unset: as
-    // the host's own settings say.
+    // How long a transaction may be idle before it is rolled back; unset: the value in the
+    // host's settings.
     std::optional<milliseconds> transactionIdleTimeout;
 
     const DatabaseSpec *database(std::string_view databaseName) const;
     const ClassSpec *classNamed(std::string_view className) const;
     const TenantSpec *tenant(std::string_view tenantName) const;
-    // The workspace that holds the key, or null. Nobody holds the empty key.
+    // The workspace that holds the key, or null. No workspace holds the empty key.
     const TenantSpec *tenantOfKey(std::string_view key) const;
     const RouteSpec *route(std::string_view routeName) const;
 };
--- a/include/egrettide/core/configurationfile.h
+++ b/include/egrettide/core/configurationfile.h
@@ -1,6 +1,6 @@
-// Reads and writes the operators' declarative file. A file is checked whole,
-// first against the JSON Schema and then for what a schema cannot say, and every
-// fault is reported at once, so that an operator mends a file in one go.
+// Parses, checks and writes the operators' declarative file. A file is checked against
+// the JSON Schema and for consistency between its entries. All faults are reported
+// together, so that an operator can correct them in one pass.
 
 #pragma once
 
@@ -17,30 +17,29 @@
 namespace egrettide
 {
 
-// The JSON Schema (draft 7) of the file; the same text as
-// schema/configuration.schema.json.
+// The JSON Schema (draft 7) of the file, identical to schema/configuration.schema.json.
 std::string_view configurationSchema();
 
-// Parses and checks a file. Version and applyId stay unset: only the store gives
-// them. On failure every fault is an InvalidInput whose message starts with the
-// JSON path of the faulty place ("/databases/0/upstreams/1/address: ...") and
-// ends with the remedy; there is at least one.
+// Parses and checks a file. Version and applyId stay unset, as they come from the store.
+// On failure it returns one or more InvalidInput errors. Each message starts with the
+// JSON path of the faulty value ("/databases/0/upstreams/1/address: ...") and ends with
+// the remedy.
 tl::expected<Configuration, std::vector<Error>> parseConfiguration(std::string_view text);
 
-// The same for a document that has been parsed already.
+// Checks a document that has already been parsed, as above.
 tl::expected<Configuration, std::vector<Error>> parseConfiguration(const nlohmann::json &document);
 
-// The file form of a configuration, every field written out. Parsing it again
-// gives the same configuration, but for the version and the applyId.
+// Writes a configuration as a file, with all fields of the schema. Parsing the result
+// yields the same configuration, except for version and applyId.
 nlohmann::json toJson(const Configuration &configuration);
 
-// What operators may want to reconsider in a valid file, one sentence each, such
-// as two upstreams of a group in the same availability zone.
+// Returns warnings about a valid file, one sentence each, for example about two
+// upstreams of a group in the same availability zone.
 std::vector<std::string> configurationWarnings(const Configuration &configuration);
 
-// What applying `after` would change in `before`, one line for each change, such
-// as "database bookings: upstream b1 slots 5 -> 6"; empty when nothing would.
-// Passwords are never shown.
+// Lists the changes from `before` to `after`, one line for each changed entry, such as
+// "database bookings: upstream b1: slots 5 -> 6"; empty if there are none. Passwords and
+// keys are never shown.
 std::vector<std::string> diff(const Configuration &before, const Configuration &after);
 
 } // namespace egrettide
--- a/include/egrettide/core/error.h
+++ b/include/egrettide/core/error.h
@@ -1,5 +1,5 @@
-// Typed errors. Each kind fixes what a caller may conclude about its request and
-// which SQLSTATE says so; each message names the remedy.
+// Typed errors. Each kind determines the outcome that a caller may assume and the
+// SQLSTATE that reports it. Each message names the remedy.
 
 #pragma once
 
@@ -11,54 +11,54 @@
 namespace egrettide
 {
 
-// What a caller may conclude from a failed request.
+// What a caller may assume about a failed request.
 enum class Outcome {
-    // Nothing of the request ran; sending it again cannot run it twice.
+    // No part of the request ran; it is safe to send it again.
     NotRun,
-    // It may or may not have run; only the caller can find out.
+    // It may or may not have run; the caller has to check its effect.
     Unknown,
-    // The upstream ran it and said no; the answer is the upstream's own.
+    // The upstream executed it and answered with an error, which is passed on.
     Failed,
 };
 
 enum class ErrorKind {
     Overloaded, // no slot within the deadline
-    DeadlineExceeded, // the deadline passed before anything was sent
-    NoPrimary, // no primary can be reached for a write
-    NotFresh, // no upstream is fresh enough in time
-    NoConfiguration, // this host has learnt no configuration yet
-    UnknownDatabase, // no database service of that name
-    Leaving, // the host or upstream is leaving
+    DeadlineExceeded, // the deadline passed before the request was sent
+    NoPrimary, // no primary is reachable for a write
+    NotFresh, // no upstream became fresh enough before the deadline
+    NoConfiguration, // this host has not received a configuration yet
+    UnknownDatabase, // there is no database service of that name
+    Leaving, // the host or upstream is being taken out of service
     Moved, // this home no longer serves the upstream, or the primary changed
-    ConnectionLimit, // the upstream's connections are all in use
-    UnknownOutcome, // sent, and the answer was lost or could not be confirmed
-    Unsupported, // egrettide does not carry this kind of statement
+    ConnectionLimit, // all connections of the upstream are in use
+    UnknownOutcome, // the request was sent and its answer was lost or could not be confirmed
+    Unsupported, // egrettide does not support this kind of statement
     InvalidInput, // malformed frame, setting or file
-    Conflict, // a conditional update lost against another one
+    Conflict, // a conditional update failed because of a concurrent one
     StoreUnavailable, // the platform's store did not answer
     AuthenticationFailed,
     Internal,
-    UnknownStatement, // no prepared statement of that name in the session
-    QuotaExceeded, // the workspace has asked more than its quota allows
+    UnknownStatement, // the session has no prepared statement of that name
+    QuotaExceeded, // the workspace has used up its request quota
 };
 
-// An error and what to do about it.
+// An error, with its remedy.
 struct Error {
     ErrorKind kind = ErrorKind::Internal;
-    // A full sentence: what happened and what to do.
+    // A full sentence that states what happened and what to do.
     std::string message;
-    // When to come back; zero means that coming back does not help.
+    // The delay after which to try again; zero if a retry does not help.
     milliseconds retryAfter{0};
 };
 
-// What the kind lets a caller conclude.
+// The outcome that a caller may assume for an error of this kind.
 Outcome outcomeOf(ErrorKind kind);
 
-// The five-character SQLSTATE that callers see. NotRun kinds use class 57/53,
-// unknown outcomes 08007 (transaction resolution unknown).
+// The five-character SQLSTATE sent to callers: most NotRun kinds use class 53 or 57,
+// unknown outcomes use 08007 (transaction resolution unknown).
 std::string_view sqlStateOf(ErrorKind kind);
 
-// The stable name in logs, metrics and JSON output.
+// The stable name used in logs, metrics and JSON output.
 std::string_view nameOf(ErrorKind kind);
 
 } // namespace egrettide
--- a/include/egrettide/core/request.h
+++ b/include/egrettide/core/request.h
@@ -1,7 +1,7 @@
-// What travels between a front and the home of an upstream: one batch with all
-// that the home needs to decide, and its answer. What is to be decided on is typed;
-// the batch itself and the answer's rows stay in the encoding of the protocol that
-// both edges speak and are not looked into on the way.
+// Requests and replies between a front (the part of a host that serves callers) and
+// a home (the one host that holds an upstream's connections and slots). The fields that
+// routing and admission need are typed. The batch and the answer stay in the encoding of
+// the client protocol and are not parsed on the way.
 
 #pragma once
 
@@ -17,16 +17,16 @@
 namespace egrettide
 {
 
-// A prepared statement that a batch refers to. The name is derived from the
-// text, so every connection of an upstream can share it. The connection sends
-// `parseMessage` first where it has not done so yet, and drops the extra answer.
+// A prepared statement that a batch refers to. The name is derived from the text, so
+// that all connections of an upstream can share it. A connection on which it has not
+// been prepared sends `parseMessage` first and discards the answer to it.
 struct PreparedStatement {
     std::string name;
-    // What prepares it, in the protocol's own encoding.
+    // The message that prepares it, in the encoding of the client protocol.
     std::string parseMessage;
 };
 
-// A value that a session has set and that its statements rely on.
+// A session setting on which the session's statements depend.
 struct SessionValue {
     std::string name;
     std::string value;
@@ -34,7 +34,7 @@
     friend bool operator==(const SessionValue &, const SessionValue &) = default;
 };
 
-// One request of a caller, answered as a whole.
+// One request of a caller. It gets exactly one reply.
 struct StatementRequest {
     // Unique among the requests of one front.
     std::uint64_t id = 0;
@@ -43,47 +43,46 @@
     StatementKind kind = StatementKind::Write;
     std::string className;
     std::string tenant;
-    // On the receiver's own clock; hops carry the remaining time.
+    // On the local clock; frames between hosts (hops) carry the remaining time.
     TimePoint deadline;
-    // Until when the answer is worth most to the caller, if it said so; never after the
-    // deadline. A hop carries the remaining time of this, too.
+    // The caller's latency objective as a time point, if it has one; at most the deadline.
+    // Hops carry the remaining time of it, too.
     std::optional<TimePoint> objective;
-    // The moment at which this process received it; Freshness::latest counts from here.
+    // The time at which this process received it. Freshness::latest refers to it.
     TimePoint receivedAt;
     Freshness freshness;
-    // True when the caller declared that running it twice is harmless.
+    // True if the caller declared it idempotent: running it twice is harmless.
     bool idempotent = false;
-    // The home's number of the open transaction this batch belongs to, 0 for none.
+    // The home's number of the open transaction that this batch belongs to; 0 for none.
     std::uint64_t transaction = 0;
-    // True when only the primary may run it although it reads: its caller must see
-    // every acknowledged write.
+    // True if only the primary may run it although it is a read, because its caller must
+    // see every acknowledged write.
     bool needsPrimary = false;
-    // True when the batch may hold more statements than one.
+    // True if the batch may contain more than one statement.
     bool mayHoldSeveral = false;
     std::vector<PreparedStatement> prepared;
-    // Sorted by name; names are unique.
-    //
-    // What goes wrong without them: a session sets a value, its next statement runs
-    // on another of the shared connections, and sees the value of a stranger. So
-    // the values travel with each statement and the connection is made to match.
+    // Sorted by name; names are unique. Sessions share connections: a statement may run on
+    // another connection than the one on which its session set a value, and would see the
+    // value of another session. Each request therefore carries the session's values, and
+    // they are applied to the connection first.
     std::vector<SessionValue> sessionValues;
     std::string batch;
 };
 
-// What a home tells fronts about one upstream of a group, with every answer.
+// The state of one upstream of a group, sent by homes to fronts with every reply.
 struct MemberHint {
     std::string upstream;
     LogMark replayed;
-    // Time since the newest state that the upstream has been proven to show.
+    // The proven age of the upstream's visible state.
     milliseconds age{0};
-    // How long a statement would wait for a slot now; only the home itself knows.
+    // The expected wait for a slot; only the upstream's own home can compute it.
     milliseconds expectedWait{0};
     bool reachable = false;
     bool leaving = false;
 };
 
-// What a home tells fronts about a group, with every answer. Newer hints replace
-// older ones; a hint of a lower term never replaces one of a higher term.
+// The state of a group, sent by homes to fronts with every reply. Newer hints replace
+// older ones, but a hint of a lower term never replaces one of a higher term.
 struct GroupHint {
     std::string database;
     Term term = 0;
@@ -91,31 +90,31 @@
     std::vector<MemberHint> members;
 };
 
-// The answer to one request. Exactly one is given for each request.
+// The reply to one request. Each request gets exactly one.
 struct StatementReply {
     std::uint64_t id = 0;
-    // Set when egrettide itself refused or lost the request; `bytes` is then empty.
+    // Set if egrettide itself refused or lost the request; `bytes` is then empty.
     std::optional<Error> error;
-    // The upstream's whole answer, ReadyForQuery included.
+    // The complete answer of the upstream, including ReadyForQuery.
     std::string bytes;
     // 'I', 'T' or 'E' as in ReadyForQuery.
     char transactionState = 'I';
-    // The home's number of the transaction that is now open, 0 for none.
+    // The home's number of the transaction that is now open; 0 for none.
     std::uint64_t transaction = 0;
-    // What the session has now seen: its floor rises to this.
+    // The mark that the session has now observed; its floor rises to it.
     std::optional<LogMark> seen;
     GroupHint hint;
-    // True when the request had left for the upstream.
+    // True if the request was sent to the upstream.
     bool sent = false;
-    // How often the front had handed it to a home; set by the front alone.
+    // The number of times the front sent it to a home; set by the front only.
     int attempts = 0;
-    // Where these went and what became of each, as RouteAttempts::history(); set by the
-    // front alone, for its logs.
+    // The target and result of each attempt, as in RouteAttempts::history(); set by the
+    // front only, for its logs.
     std::string tried;
 };
 
 using ReplyHandler = std::function<void(StatementReply)>;
-// Runs a request at the home of its upstream, here or on another host.
+// Runs a request at the home of its upstream, on this host or another one.
 using ExecuteHook = std::function<void(StatementRequest, ReplyHandler)>;
 
 } // namespace egrettide
--- a/include/egrettide/core/rewritedelay.h
+++ b/include/egrettide/core/rewritedelay.h
@@ -1,5 +1,5 @@
-// When a host writes again what a restored store may have lost: all hosts learn of the
-// restore within a second, and the store takes only so many calls.
+// The random delay before a host rewrites the data that a restored store may have lost.
+// All hosts detect the restore within a second, and the store's call rate is limited.
 
 #pragma once
 
@@ -12,11 +12,12 @@
 namespace egrettide
 {
 
-// What all hosts together write in a second, on average; a store takes several hundred
-// calls that write, and operators and upstreams write again at the same time.
+// The average rate at which all hosts together rewrite. A store accepts several hundred
+// writes per second, and operators and upstreams rewrite their data at the same time.
 constexpr double rewritesPerSecond = 100;
 
-// How long one of that many hosts waits: evenly spread over the time that all of them take.
+// The delay of one of `hosts` hosts: uniformly distributed over the time in which all of
+// them write at rewritesPerSecond.
 inline milliseconds rewriteDelay(std::size_t hosts, std::mt19937_64 &random)
 {
     const std::chrono::duration<double> span(static_cast<double>(hosts) / rewritesPerSecond);
--- a/include/egrettide/core/storeepoch.h
+++ b/include/egrettide/core/storeepoch.h
@@ -1,5 +1,6 @@
-// Which history of a store an answer belongs to: a store that is restored from an older
-// copy of itself goes on from there, and begins a new epoch.
+// Store epochs and the order of revisions. A store that is restored from a backup continues
+// from the backup's revision and starts a new epoch, so that its answers can be told from
+// those given before the restore.
 
 #pragma once
 
@@ -9,8 +10,8 @@
 namespace egrettide
 {
 
-// A revision of a store within one of its epochs. A store that was restored gives out
-// revisions again, so they are compared by epoch first.
+// A revision of a store within one of its epochs. A restored store reuses revision numbers,
+// so revisions are compared by epoch first.
 struct StoreRevision {
     static constexpr unsigned revisionBits = 40;
     static constexpr std::uint64_t largestRevision = (std::uint64_t{1} << revisionBits) - 1;
@@ -26,8 +27,8 @@
         return ordered() < other.ordered();
     }
 
-    // One number of the same order, which no other revision of any epoch shares. Both parts
-    // must be at most their largest.
+    // A unique number with the same order, across all epochs. `epoch` and `revision` must not
+    // exceed their maximum.
     std::uint64_t ordered() const
     {
         return (epoch << revisionBits) | revision;
@@ -39,30 +40,31 @@
     }
 };
 
-// What the epoch that came with an answer says.
+// The epoch of an answer, compared with the current one.
 enum class EpochNews {
-    // The epoch that is known, or none was named.
+    // Equal to the current epoch, or the answer states none.
     Current,
-    // The first one, or a later one than was known.
+    // The first epoch, or a later one than the current.
     Advanced,
-    // An earlier one than is known.
+    // Earlier than the current epoch.
     Fallen,
-    // No epoch that a revision can be told with.
+    // Not a number, or greater than StoreRevision::largestEpoch.
     Malformed,
 };
 
-// Follows the epoch that a store names with its answers.
+// Tracks the epoch that a store states in its answers.
 class StoreEpochTracker
 {
 public:
-    // `text` is what the answer says, empty when it names none. Only Advanced changes current().
+    // Evaluates the epoch stated in an answer; `text` is empty if it states none. current()
+    // changes only if the result is Advanced.
     EpochNews onAnswer(std::string_view text);
 
-    // 0 until the store has named one.
+    // 0 until the store has stated an epoch.
     std::uint64_t current() const;
 
 private:
-    // Invariant: never falls.
+    // Invariant: never decreases.
     std::uint64_t m_current = 0;
 };
 
--- a/include/egrettide/core/types.h
+++ b/include/egrettide/core/types.h
@@ -1,6 +1,6 @@
-// Shared vocabulary of the decisions in egrettide: marks in a database's log,
-// what a probe of an upstream says, and what a read asks for. Everything here is
-// plain data so that a test, a simulator or another driver can build it by hand.
+// Basic types of the core: marks in a database's log, status answers of upstreams,
+// an observer's view of a group, and the freshness that a read requires. All are
+// plain data, so that tests, simulators and other drivers can construct them.
 
 #pragma once
 
@@ -19,14 +19,14 @@
 namespace egrettide
 {
 
-// Every time point in the core comes from the caller's own monotonic clock.
-// Clocks of different hosts are never compared.
+// Time points in the core come from the local host's monotonic clock. Time points
+// of different hosts are never compared.
 using TimePoint = Clock::time_point;
 using std::chrono::milliseconds;
 
-// A term numbers the successive primaries of one database group; it only rises.
+// Numbers the successive primaries of one database group; never decreases.
 using Term = std::uint64_t;
-// A position counts entries in a group's log; it only rises within a term.
+// Counts the entries of a group's log; never decreases within a term.
 using Position = std::uint64_t;
 
 // A point in a group's log. Marks order by term first: an entry of a later term
@@ -35,7 +35,7 @@
     Term term = 0;
     Position position = 0;
 
-    // The check mistakes the comparison's zero for a null pointer.
+    // False positive: the check takes the 0 of the rewritten comparison for a null pointer.
     friend auto operator<=>(const LogMark &, const LogMark &) = default; // NOLINT(modernize-use-nullptr)
 };
 
@@ -44,36 +44,37 @@
     return out << mark.term << ':' << mark.position;
 }
 
-// What an upstream says it is. A fenced upstream has promised a higher term than
-// the one it served and takes no writes until it is told whom to follow.
+// The role that an upstream reports. A fenced upstream has promised a higher term
+// than the one it served, and accepts no writes until it receives an order to follow
+// a primary.
 enum class UpstreamRole { Primary, Replica, Fenced };
 
-// The answer of one upstream to one status probe. Valid for the moment at which
-// the upstream took it, which lies between sending the probe and its receipt.
+// An upstream's answer to one status probe. It describes the upstream at some moment
+// between the sending of the probe and the receipt of the answer.
 struct MemberStatus {
     std::string upstream;
     UpstreamRole role = UpstreamRole::Replica;
     // The highest term this upstream has promised; it refuses lower ones.
     Term promisedTerm = 0;
-    // The promoter that the promise was given to; a term has one promoter only.
+    // The promoter to which the promise was given; each term has exactly one promoter.
     std::string promisedTo;
     // The last entry in its log. Invariant: received >= replayed.
     LogMark received;
-    // The last entry that its reads can see.
+    // The last entry that is visible to its reads.
     LogMark replayed;
-    // The term whose primary it follows or is; 0 while it follows nobody.
+    // The term of the primary that it follows or is; 0 while it follows none.
     Term followingTerm = 0;
 };
 
-// Proof that at `sentAt`, on the observer's own clock, no acknowledged write lay
-// beyond `mark`: the primary's position, taken by a probe sent at `sentAt` in a
-// round in which a majority of the group still stood by the primary's term.
+// States that at `sentAt`, on the observer's clock, no acknowledged write lay beyond
+// `mark`. The mark is the primary's position from a probe sent at `sentAt`, in a round
+// in which a majority of the group confirmed the primary's term.
 struct Watermark {
     TimePoint sentAt;
     LogMark mark;
 };
 
-// How one observer sees one member of a group.
+// One observer's view of one member of a group.
 struct MemberView {
     std::string upstream;
     std::string zone;
@@ -82,17 +83,17 @@
     LogMark replayed;
     Term followingTerm = 0;
     TimePoint observedAt;
-    // Entries replayed a second, smoothed; 0 when unknown.
+    // Entries replayed per second, smoothed; 0 when unknown.
     double replayRate = 0;
     bool reachable = false;
-    // False until it has answered, or failed to: nothing is known of it yet, neither that
-    // it can be reached nor that it can't.
+    // True once a probe of it has been answered or has failed; before that, `reachable` has
+    // no meaning.
     bool judged = false;
     bool leaving = false;
 };
 
-// How one observer sees a whole group: made by GroupMonitor, read by everything
-// that routes or holds answers back.
+// One observer's view of a whole group. GroupMonitor produces it; the components that
+// route requests or delay answers read it.
 struct GroupSnapshot {
     std::string database;
     Term term = 0;
@@ -105,21 +106,22 @@
     std::vector<MemberView> members;
 };
 
-// How fresh a read has to be. The parts add up: all that are set must hold.
+// The freshness that a read requires. All conditions that are set must hold.
 struct Freshness {
-    // The session's last write or read; reads must see it.
+    // The mark that the read must reach: that of the session's last write or read.
     std::optional<LogMark> floor;
-    // The oldest state a reader accepts; unset means any age above the floor.
+    // The maximum age of the state that is read; unset: any state at or above the floor.
     std::optional<milliseconds> maxAge;
-    // The read must see every write acknowledged before it was received: for
+    // The read must see every write that was acknowledged before it was received. Set for
     // "latest" reads and for sessions that arrive without a token.
     bool latest = false;
 };
 
-// What a statement may do, as the parser proves it. Anything unproven is a Write.
+// The kind of a statement as determined from its parse tree. A statement that cannot be
+// shown to be of another kind counts as a Write.
 enum class StatementKind { Read, Write, Begin, BeginReadOnly, Commit, Rollback, Setting, Refused };
 
-// Its name in logs.
+// The name used in logs.
 std::string_view nameOf(StatementKind kind);
 
 } // namespace egrettide
