--- a/include/egrettide/core/configurationapply.h
+++ b/include/egrettide/core/configurationapply.h
@@ -1,13 +1,12 @@
-// Decides how an operator's file gets into the store: read, compare-and-set at
-// the version that was read, and, when the answer is lost, find out what became
-// of it. Pure: events and the time go in, typed actions come out.
+// State machine that applies an operator's file to the store: it reads the object,
+// writes it by compare-and-set at the version that was read and, if the answer is lost,
+// determines the outcome. Pure: it takes events and the time, and returns typed actions.
 //
-// What goes wrong without it: an answer is lost after the change took effect. An
-// operator who then repeats the apply on a newer version undoes a colleague's
-// file; one who gives up believes that nothing happened. Each attempt therefore
-// carries an apply id inside the object, and the object remembers the last ids
-// with their versions, so that "mine was applied and then replaced" is told
-// apart from "mine never was".
+// If the answer to a successful write is lost, an operator who repeats the apply on a
+// newer version overwrites a colleague's file, and one who gives up assumes that nothing
+// changed. Each attempt therefore stores an apply id in the object, and the object keeps
+// the last ids with their versions. They show whether a file was applied and then
+// replaced, or was never applied.
 
 #pragma once
 
@@ -29,14 +28,14 @@
 namespace egrettide
 {
 
-// The store's key of the one configuration object. It is never deleted: its
-// history is what resolves lost answers.
+// The store's key of the one configuration object. The object is never deleted: its
+// history is needed to determine the outcome of writes whose answer was lost.
 inline constexpr std::string_view ConfigurationKey = "egrettide/configuration";
 
-// How many apply ids, the object's own included, an object remembers.
+// The number of apply ids that an object holds, including its own.
 inline constexpr std::size_t RememberedApplies = 16;
 
-// One earlier state of the object.
+// One version of the object.
 struct AppliedEntry {
     std::string applyId;
     std::string who;
@@ -45,14 +44,14 @@
     friend bool operator==(const AppliedEntry &, const AppliedEntry &) = default;
 };
 
-// The part of the object besides the file. It can be read even when the file was
+// The metadata of the object, without the file. It can be read even if the file was
 // written for another release of the schema.
 struct ConfigurationHead {
     std::string applyId;
-    // The operator, for the loser of a race to talk to.
+    // The operator who applied the file, named to operators whose own apply conflicts with it.
     std::string who;
-    // Invariant: versions rise; at most RememberedApplies - 1 entries; each entry
-    // is the object that the next one replaced.
+    // Oldest first. Invariant: versions increase; at most RememberedApplies - 1 entries; each
+    // entry was replaced by the next one, the last by this object.
     std::vector<AppliedEntry> earlier;
 
     friend bool operator==(const ConfigurationHead &, const ConfigurationHead &) = default;
@@ -64,26 +63,26 @@
     ConfigurationHead head;
 };
 
-// The object's value: the head and the whole file.
+// Serializes the object's value: the head and the whole file.
 nlohmann::json configurationObject(const ConfigurationHead &head, const nlohmann::json &file);
 
-// Reads the head of an object's value; InvalidInput when it is not one of ours.
+// Parses the head of an object's value; InvalidInput if egrettide did not write it.
 tl::expected<ConfigurationHead, Error> parseConfigurationHead(const nlohmann::json &object);
 
-// Reads a whole object as hosts do: the file checked, version and applyId set.
+// Parses and checks a whole object, as hosts do, and sets version and applyId.
 tl::expected<Configuration, std::vector<Error>> parseConfigurationObject(const nlohmann::json &object, std::uint64_t version);
 
-// Events. `attempt` is the number in the action that is answered. Answers may
-// come late, twice or never.
+// Events. `attempt` is the number of the action that is answered. Answers may arrive
+// late, twice or never.
 struct ReadAnswered {
     std::uint64_t attempt = 0;
-    // Unset when there is no object yet.
+    // Unset if there is no object yet.
     std::optional<StoredHead> stored;
 };
 struct ReadFailed {
     std::uint64_t attempt = 0;
 };
-// The object is not one of ours: the file must not replace it.
+// The object was not written by egrettide and must not be replaced.
 struct ReadUnusable {
     std::uint64_t attempt = 0;
     Error error;
@@ -95,15 +94,15 @@
 struct WriteConflicted {
     std::uint64_t attempt = 0;
 };
-// The request left and no answer came: it may have taken effect, or may yet.
+// The request was sent and not answered: it may have taken effect, or may still do so.
 struct WriteAnswerLost {
     std::uint64_t attempt = 0;
 };
-// The request never left.
+// The request was not sent.
 struct WriteNotSent {
     std::uint64_t attempt = 0;
 };
-// The store will never take this value.
+// The store rejects this value permanently.
 struct WriteRefused {
     std::uint64_t attempt = 0;
     std::string reason;
@@ -114,41 +113,41 @@
                                 WriteNotSent, WriteRefused, ApplyDeadlinePassed>;
 
 enum class ApplyVerdict {
-    // This file was accepted as `version`; see `current` for what is there now.
+    // This file was accepted as `version`; `current` is the object that the store holds now.
     Applied,
-    // Another file was accepted instead; this one never was and never will be.
+    // Another file was accepted instead; this one was not and will not be accepted.
     LostRace,
-    // The file may have been accepted, or may yet be.
+    // The file may have been accepted, or may still be.
     Unknown,
     // The store could not be reached; the file was not and will not be accepted.
     StoreUnavailable,
-    // The store refuses this value; nothing changed.
+    // The store rejects this value; nothing changed.
     Refused,
 };
 
 // Actions.
 struct ReadConfiguration {
     std::uint64_t attempt = 0;
-    // Wait until then: the store is struggling.
+    // The earliest time to send it; in the future after a failed call (backoff).
     TimePoint notBefore;
 };
 struct WriteConfiguration {
     std::uint64_t attempt = 0;
     TimePoint notBefore;
-    // The store must refuse the write at any other version; unset only in the
-    // naive variant that the tests compare with.
+    // The store must reject the write if the object has another version. Unset only under
+    // Mutation::withoutCompareAndSet.
     std::optional<std::uint64_t> expectedVersion;
     ConfigurationHead head;
 };
 struct ApplyFinished {
     ApplyVerdict verdict = ApplyVerdict::Unknown;
-    // Applied: the version that this file got.
+    // Applied: the version that the store assigned to this file.
     std::uint64_t version = 0;
-    // LostRace: who replaced the version that this file was based on.
+    // LostRace: the entry that replaced the version on which this file was based.
     AppliedEntry winner;
-    // The object as last read or written; version 0 when it was never seen.
+    // The object as last read or written; version 0 if there was none or it was never read.
     AppliedEntry current;
-    // Set for every verdict but Applied; names the remedy.
+    // Set for every verdict except Applied; names the remedy.
     std::optional<Error> error;
 };
 using ApplyAction = std::variant<ReadConfiguration, WriteConfiguration, ApplyFinished>;
@@ -157,21 +156,22 @@
 class ConfigurationApply
 {
 public:
-    // Switches mechanisms off so that a test can show that its proof notices.
+    // Disables single mechanisms, so that tests can verify that they detect the resulting
+    // fault.
     struct Mutation {
         bool withoutCompareAndSet = false;
         bool withoutOwnIdLookup = false;
         bool withoutHistory = false;
-        // Repeats a write whose answer was lost on top of whatever is there now.
+        // Repeats a write whose answer was lost, with the current version as its base.
         bool rebaseAfterLostAnswer = false;
     };
 
     struct Settings {
-        // Unique among all attempts of all operators for ever, such as 128 random bits.
+        // Globally unique for each attempt, for example 128 random bits.
         std::string applyId;
         std::string who;
-        // The version that the operator's file was made from; unset takes the
-        // version that the first read finds.
+        // The version on which the operator's file is based; unset: the version that the
+        // first read returns.
         std::optional<std::uint64_t> ifVersion;
         Mutation mutation;
     };
@@ -183,9 +183,8 @@
     // The first action.
     ApplyAction start(TimePoint now);
 
-    // Takes one event; returns the next action, if this event calls for one.
-    // Nothing is returned after ApplyFinished, and exactly one ApplyFinished is
-    // returned at ApplyDeadlinePassed at the latest.
+    // Processes one event and returns the next action, if there is one. Exactly one
+    // ApplyFinished is returned, at the latest for ApplyDeadlinePassed, and nothing after it.
     std::optional<ApplyAction> handle(const ApplyEvent &event, TimePoint now);
 
 private:
@@ -211,21 +210,21 @@
     ApplyAction lostRace(const AppliedEntry &winner, const AppliedEntry &current);
     ApplyAction fail(ApplyVerdict verdict, Error error);
     bool awaits(Phase phase, std::uint64_t attempt) const;
-    TimePoint pauseFrom(TimePoint now);
+    TimePoint nextRetryTime(TimePoint now);
 
     Settings m_settings;
     Phase m_phase = Phase::Idle;
-    // Numbers the actions; an answer to an earlier read is worthless.
+    // The number of the last action; answers to earlier reads are ignored.
     std::uint64_t m_attempt = 0;
-    // The version that this file replaces, and what the write carries. Fixed by
-    // the first read: every repeat writes the same value at the same version, so
-    // at most one of them can take effect, however late it arrives.
+    // The version that this file replaces, and the head that the write carries. Fixed by
+    // the first read: every retry writes the same value at the same version, so at most
+    // one of them can take effect, however late it arrives.
     std::uint64_t m_base = 0;
     ConfigurationHead m_head;
-    // Writes that have not been proven never to have left.
+    // Writes that may have been sent and whose outcome is open.
     std::uint64_t m_unresolvedWrites = 0;
     AppliedEntry m_lastSeen;
-    milliseconds m_pause{0};
+    milliseconds m_retryDelay{0};
 };
 
 } // namespace egrettide
--- a/include/egrettide/core/configurationstate.h
+++ b/include/egrettide/core/configurationstate.h
@@ -1,6 +1,6 @@
-// What one host holds of the configuration. The store, peers and a host's own
-// watch may all offer configurations in any order, late and repeatedly; a host
-// only ever moves to a higher version, so an accepted file never reverts.
+// The configuration in force at one host. The store, a watch on the store and peers may
+// offer configurations late, repeatedly and in any order. A host only moves to higher
+// versions, so that an accepted file never reverts.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 {
 
 enum class OfferResult {
-    // It is in force at this host now.
+    // The offered configuration is now in force at this host.
     Accepted,
     // This version was in force already.
     Same,
@@ -24,9 +24,10 @@
 class ConfigurationState
 {
 public:
-    // Switches mechanisms off so that a test can show that its proof notices.
+    // Disables single mechanisms, so that tests can verify that they detect the resulting
+    // fault.
     struct Mutation {
-        // Takes any version that is offered, as a host without the rule would.
+        // Accepts lower versions, too.
         bool acceptLower = false;
     };
 
@@ -35,15 +36,15 @@
     ConfigurationState(const ConfigurationState &) = delete;
     ConfigurationState &operator=(const ConfigurationState &) = delete;
 
-    // Takes the configuration when its version is above the one held. Version 0
-    // has not been through the store and is Stale.
+    // Accepts the configuration if its version is higher than the one in force. Version 0
+    // was not assigned by the store and is Stale.
     OfferResult offer(Configuration configuration);
 
-    // Notes that somebody holds `version`, for example a peer in a heartbeat.
+    // Records that `version` exists, for example because a peer's heartbeat reports it.
     void heardOf(std::uint64_t version);
 
-    // The configuration in force; null while this host has learnt none. It never
-    // changes: a new one replaces it.
+    // The configuration in force; null while there is none. The object is immutable and is
+    // replaced by a new one when the configuration changes.
     std::shared_ptr<const Configuration> current() const;
 
     // The version in force, 0 while there is none.
@@ -52,15 +53,15 @@
     // The newest version known to exist; at least version().
     std::uint64_t newestHeard() const;
 
-    // True while a newer version is known to exist: ask for it.
+    // True if a newer version is known to exist and has to be fetched.
     bool isBehind() const;
 
 private:
     Mutation m_mutation;
-    // Invariant: its version only rises.
+    // Invariant: its version never decreases.
     std::shared_ptr<const Configuration> m_current;
-    // Invariant: m_newestHeard >= version().
-    std::uint64_t m_newestHeard = 0;
+    // Invariant: m_newestKnownVersion >= version().
+    std::uint64_t m_newestKnownVersion = 0;
 };
 
 } // namespace egrettide
--- a/include/egrettide/core/readerduty.h
+++ b/include/egrettide/core/readerduty.h
@@ -1,4 +1,5 @@
-// Which hosts of an availability zone read the store for the others.
+// Selects the hosts of an availability zone that read the store for the zone (store
+// readers).
 
 #pragma once
 
@@ -13,53 +14,55 @@
 {
 
 struct ReaderDutyOptions {
-    // Hosts of one zone that may read at the same time. When the store is down, each of
-    // them calls it in vain; when it turns single hosts away, three are seldom all among them.
-    std::size_t mostReaders = 3;
-    // How long the word of a reader that does not reach the store counts: three of the
-    // intervals at which it is repeated, so that one lost word changes nothing.
-    milliseconds handOverLasts{3000};
-    // The interval at which such a reader repeats its word.
-    milliseconds handOverSpacing{1000};
-    // Every host reads for itself.
+    // The maximum number of hosts of one zone that read at the same time. It bounds the
+    // futile calls while the store is down; if the store refuses single hosts, it is unlikely
+    // that all three are among them.
+    std::size_t maxReaders = 3;
+    // How long a hand-over from a reader that does not reach the store stays valid: three
+    // times the interval at which it is repeated, so that a single lost message has no effect.
+    milliseconds handOverValidity{3000};
+    // The interval at which such a reader repeats the hand-over.
+    milliseconds handOverInterval{1000};
+    // Disables the selection: every host reads the store itself.
     bool everybodyReads = false;
 };
 
-// Decides for one host. The zone's hosts stand in an order on which all of them agree; the
-// first one reads. A reader that does not reach the store hands the duty over to the next
-// one and goes on trying. Two readers at once are harmless, none would be noticed as a
-// configuration that is not in force: so each doubt ends with one reader more.
+// Makes the decision for one host. All hosts of a zone use the same order of candidates; the
+// first one reads. A reader that does not reach the store hands over to the next candidate
+// and keeps trying. Two readers at once are harmless, whereas without a reader a new
+// configuration does not come into force; in doubt, one more host reads.
 //
-// Pure: time comes in. Not thread-safe.
+// Pure: the time is passed in. Not thread-safe.
 class ReaderDuty
 {
 public:
     explicit ReaderDuty(std::string self, ReaderDutyOptions options = {});
 
-    // The zone's hosts that do not leave, first choice first. Until it is called for the first
-    // time this host knows nobody, and reads nothing but its first copy.
+    // Sets the hosts of the zone that are not leaving, in order of preference. Until the first
+    // call the host is not a reader; it reads no more than its initial copy.
     void onCandidates(std::vector<std::string> candidates);
-    // Whether the store answers this host.
-    void onReach(bool reached);
-    // The candidate before this one does not reach the store.
+    // Records whether the store answers this host.
+    void onReach(bool reachable);
+    // Records that the preceding candidate reported that it does not reach the store.
     void onHandOver(TimePoint now);
 
-    // True while this host has to follow the store.
+    // True while this host is a reader, which has to watch the store for changes.
     bool reads(TimePoint now) const;
-    // The host that has to be told at `now` that this reader does not reach the store.
+    // The host to which this reader has to send a hand-over at `now`, because it does not
+    // reach the store; nothing if none is due.
     std::optional<std::string> handsOverTo(TimePoint now);
 
 private:
-    // Nothing for a host that is not among the candidates, as it leaves.
+    // The host's index among the candidates; nothing if it is leaving and so not among them.
     std::optional<std::size_t> rank() const;
 
     const std::string m_self;
     const ReaderDutyOptions m_options;
     std::vector<std::string> m_candidates;
-    bool m_knowsZone = false;
-    bool m_reached = true;
+    bool m_candidatesKnown = false;
+    bool m_storeReachable = true;
     TimePoint m_handedOverUntil;
-    TimePoint m_nextWordAt;
+    TimePoint m_nextHandOverAt;
 };
 
 } // namespace egrettide
--- a/include/egrettide/core/upstreamsuccession.h
+++ b/include/egrettide/core/upstreamsuccession.h
@@ -1,4 +1,5 @@
-// Which of several upstreams at one address is the process that runs there now.
+// Determines which of several upstreams registered at one address is the process that
+// currently runs there, and removes the others.
 
 #pragma once
 
@@ -13,41 +14,43 @@
 namespace egrettide
 {
 
+// An upstream whose address a later process, `successor`, has taken over.
 struct SupersededUpstream {
     std::string name;
     std::string address;
     std::string successor;
 };
 
-// What goes wrong without it: an upstream crashes and another process starts at its
-// address, while the registration of the crashed one stands until it lapses; registrations
-// that were held up behind a cut may even come back after that. The dead one counts as a
-// member of its group, so a promotion waits for a majority that can't be had. It shows as
-// a leaving primary that keeps its place: with three members started anew and five dead
-// registrations among eight, requests reached it 16 ms to 1.1 s after its last moment.
+// If an upstream crashes and another process starts at its address, the registration of
+// the crashed one stays until it lapses, and one that was delayed by a network partition
+// may reappear even later. If it counted as a member of its group, promotions could not
+// reach a majority and a leaving primary would stay primary: with three restarted members
+// and five stale registrations among eight, requests reached such a primary 16 ms to 1.1 s
+// after the time by which it had to be out of service.
 //
-// Keeps the order in which upstreams were first seen at each address; bounded.
+// Keeps the order in which upstreams were first seen at each address; memory is bounded.
 class UpstreamSuccession
 {
 public:
-    // Takes every upstream out of `configuration` whose address a later process has taken
-    // over. The later one is the one that started later, where both tell their start; else
-    // the one that was first seen later; else, of two that were first seen together, the
-    // one with fewer heartbeats. Returns those that were not out already.
+    // Removes every upstream from `configuration` whose address a later process has taken
+    // over. The later process is the one with the later start time, if both registrations
+    // state one; otherwise the one that was first seen later; for two that were first seen in
+    // the same call, the one with fewer heartbeats. Returns the upstreams that the previous
+    // call had not removed.
     std::vector<SupersededUpstream> settle(Configuration &configuration);
 
 private:
-    // First seen first.
-    using Sightings = std::deque<std::string>;
+    // Names of upstreams, in the order in which they were first seen.
+    using Names = std::deque<std::string>;
 
-    void note(const UpstreamSpec &upstream);
+    void recordFirstSeen(const UpstreamSpec &upstream);
     bool isLater(const UpstreamSpec &one, const UpstreamSpec &other) const;
-    std::size_t seenAs(const UpstreamSpec &upstream) const;
-    void forgetOldAddresses(const Configuration &configuration);
+    std::size_t firstSeenIndex(const UpstreamSpec &upstream) const;
+    void removeIdleAddresses(const Configuration &configuration);
 
-    // By address.
-    std::map<std::string, Sightings> m_sightings;
-    // Out since an earlier call.
+    // Keyed by address.
+    std::map<std::string, Names> m_namesByAddress;
+    // The upstreams that the last call removed, with their successors.
     std::map<std::string, std::string> m_superseded;
 };
 
--- a/src/core/configuration/configuration.cpp
+++ b/src/core/configuration/configuration.cpp
@@ -1,4 +1,4 @@
-// Look-ups by name in a configuration.
+// Lookup of configuration entries by name.
 
 #include "egrettide/core/configuration.h"
 
--- a/src/core/configuration/configurationapply.cpp
+++ b/src/core/configuration/configurationapply.cpp
@@ -1,6 +1,6 @@
-// The apply decision. Every write of one attempt carries the same value at the
-// same expected version: however often it is repeated and however late a copy
-// arrives, at most one of them takes effect, and none once the object has moved on.
+// Implementation of ConfigurationApply. All writes of one attempt carry the same value
+// and the same expected version. However often a write is repeated and however late a
+// copy arrives, at most one takes effect, and none once the object has a newer version.
 
 #include "egrettide/core/configurationapply.h"
 
@@ -13,51 +13,51 @@
 namespace
 {
 
-// Between calls to a struggling store; doubles up to the second.
-constexpr milliseconds FirstPause{50};
-constexpr milliseconds LongestPause{1000};
+// Backoff between failed calls to the store; doubles from the first value to the maximum.
+constexpr milliseconds FirstRetryDelay{50};
+constexpr milliseconds MaxRetryDelay{1000};
 
 AppliedEntry entryOf(const StoredHead &stored)
 {
     return {stored.head.applyId, stored.head.who, stored.version};
 }
 
-// The object's whole remembered line: earlier entries, then itself.
-std::vector<AppliedEntry> lineOf(const StoredHead &stored)
+// The object's history: the earlier entries that it holds, then its own.
+std::vector<AppliedEntry> historyOf(const StoredHead &stored)
 {
-    std::vector<AppliedEntry> line = stored.head.earlier;
-    line.push_back(entryOf(stored));
-    return line;
+    std::vector<AppliedEntry> history = stored.head.earlier;
+    history.push_back(entryOf(stored));
+    return history;
 }
 
-const AppliedEntry *withId(const std::vector<AppliedEntry> &line, const std::string &applyId)
+const AppliedEntry *findById(const std::vector<AppliedEntry> &history, const std::string &applyId)
 {
     const auto found =
-        std::find_if(line.begin(), line.end(), [&applyId](const AppliedEntry &entry) { return entry.applyId == applyId; });
-    return found == line.end() ? nullptr : &*found;
+        std::find_if(history.begin(), history.end(), [&applyId](const AppliedEntry &entry) { return entry.applyId == applyId; });
+    return found == history.end() ? nullptr : &*found;
 }
 
-// The entry that replaced version `base`; null when the line no longer tells.
-const AppliedEntry *successorOf(const std::vector<AppliedEntry> &line, std::uint64_t base)
+// The entry that replaced version `base`; null if the history does not reach back to it.
+const AppliedEntry *successorOf(const std::vector<AppliedEntry> &history, std::uint64_t base)
 {
     if (base == 0) {
-        // A line that has never been cut starts with the first object of all.
-        return line.size() < RememberedApplies ? &line.front() : nullptr;
+        // A history that has not been truncated starts with the first version of the object.
+        return history.size() < RememberedApplies ? &history.front() : nullptr;
     }
     const auto found =
-        std::find_if(line.begin(), line.end(), [base](const AppliedEntry &entry) { return entry.version == base; });
-    const bool hasSuccessor = found != line.end() && found + 1 != line.end();
+        std::find_if(history.begin(), history.end(), [base](const AppliedEntry &entry) { return entry.version == base; });
+    const bool hasSuccessor = found != history.end() && found + 1 != history.end();
     return hasSuccessor ? &*(found + 1) : nullptr;
 }
 
-std::string described(const AppliedEntry &entry)
+std::string describe(const AppliedEntry &entry)
 {
     return "version " + std::to_string(entry.version) + " by " + entry.who + " (apply id " + entry.applyId + ")";
 }
 
 } // namespace
 
-ConfigurationApply::ConfigurationApply(Settings settings) : m_settings(std::move(settings)), m_pause(FirstPause)
+ConfigurationApply::ConfigurationApply(Settings settings) : m_settings(std::move(settings)), m_retryDelay(FirstRetryDelay)
 {
 }
 
@@ -90,7 +90,7 @@
     if (!awaits(m_phase, event.attempt) || m_phase == Phase::Writing) {
         return std::nullopt;
     }
-    return read(m_phase, pauseFrom(now));
+    return read(m_phase, nextRetryTime(now));
 }
 
 std::optional<ApplyAction> ConfigurationApply::on(const ReadUnusable &event, TimePoint)
@@ -103,7 +103,8 @@
 
 std::optional<ApplyAction> ConfigurationApply::on(const WriteAccepted &event, TimePoint)
 {
-    // However late and whichever repeat it answers: the store has taken the file.
+    // Valid however late it arrives and whichever retry it answers: the store has accepted
+    // the file.
     return applied(event.version, {m_settings.applyId, m_settings.who, event.version});
 }
 
@@ -112,8 +113,8 @@
     if (!awaits(Phase::Writing, event.attempt)) {
         return std::nullopt;
     }
-    // The object has moved on, perhaps by an earlier copy of this very write
-    // whose answer was lost: only the object itself tells who won.
+    // The object has a newer version, possibly from an earlier copy of this write whose
+    // answer was lost. Only the object's history shows which file was accepted.
     return read(Phase::Resolving, now);
 }
 
@@ -131,7 +132,7 @@
         return std::nullopt;
     }
     --m_unresolvedWrites;
-    return write(pauseFrom(now));
+    return write(nextRetryTime(now));
 }
 
 std::optional<ApplyAction> ConfigurationApply::on(const WriteRefused &event, TimePoint now)
@@ -141,11 +142,11 @@
     }
     --m_unresolvedWrites;
     if (m_unresolvedWrites > 0) {
-        return read(Phase::Resolving, pauseFrom(now));
+        return read(Phase::Resolving, nextRetryTime(now));
     }
     return fail(ApplyVerdict::Refused,
                 {ErrorKind::InvalidInput,
-                 "The store refuses the file (" + event.reason + "); nothing changed: make it smaller or mend it.",
+                 "The store refuses the file (" + event.reason + "); nothing changed: make it smaller or correct it.",
                  milliseconds{0}});
 }
 
@@ -154,14 +155,15 @@
     if (m_unresolvedWrites == 0) {
         return fail(ApplyVerdict::StoreUnavailable,
                     {ErrorKind::StoreUnavailable,
-                     "The store did not answer in time; nothing changed: apply again when it is back.", LongestPause});
+                     "The store did not answer in time; nothing changed: apply again when it is available.", MaxRetryDelay});
     }
-    return fail(ApplyVerdict::Unknown,
-                {ErrorKind::UnknownOutcome,
-                 "The store's answer was lost, and it could not be read again in time: the file may be accepted or may yet be. "
-                 "Look for apply id "
-                     + m_settings.applyId + " in the store's object before you apply again.",
-                 LongestPause});
+    return fail(
+        ApplyVerdict::Unknown,
+        {ErrorKind::UnknownOutcome,
+         "The store's answer was lost, and it could not be read again in time: the file may have been accepted or may still be. "
+         "Look for apply id "
+             + m_settings.applyId + " in the store's object before you apply again.",
+         MaxRetryDelay});
 }
 
 ApplyAction ConfigurationApply::read(Phase phase, TimePoint notBefore)
@@ -190,7 +192,7 @@
     }
     m_head = {m_settings.applyId, m_settings.who, {}};
     if (stored && !m_settings.mutation.withoutHistory) {
-        m_head.earlier = lineOf(*stored);
+        m_head.earlier = historyOf(*stored);
         const std::size_t kept = std::min(m_head.earlier.size(), RememberedApplies - 1);
         m_head.earlier.erase(m_head.earlier.begin(), m_head.earlier.end() - static_cast<std::ptrdiff_t>(kept));
     }
@@ -204,11 +206,11 @@
         return fail(ApplyVerdict::Refused,
                     {ErrorKind::InvalidInput,
                      "The store holds version " + std::to_string(found) + ", not " + std::to_string(m_base)
-                         + "; nothing changed: name the version that status shows.",
+                         + "; nothing changed: use the version that status shows.",
                      milliseconds{0}});
     }
-    const std::vector<AppliedEntry> line = lineOf(*stored);
-    const AppliedEntry *successor = successorOf(line, m_base);
+    const std::vector<AppliedEntry> history = historyOf(*stored);
+    const AppliedEntry *successor = successorOf(history, m_base);
     return lostRace(successor != nullptr ? *successor : m_lastSeen, m_lastSeen);
 }
 
@@ -217,8 +219,8 @@
     const std::uint64_t version = stored ? stored->version : 0;
     m_lastSeen = stored ? entryOf(*stored) : AppliedEntry{};
     if (version < m_base) {
-        // An answer from before the base was read; it tells nothing.
-        return read(Phase::Resolving, pauseFrom(now));
+        // The answer is older than the read that determined the base.
+        return read(Phase::Resolving, nextRetryTime(now));
     }
     if (version > m_base && m_settings.mutation.rebaseAfterLostAnswer) {
         return decideBase(stored, now);
@@ -226,26 +228,26 @@
     if (version > m_base) {
         return resolveSuccessor(*stored);
     }
-    // Nothing has happened yet, but a copy of the write may still be on its way:
-    // the same write at the same version is safe to repeat.
-    return write(pauseFrom(now));
+    // The object is unchanged, but a copy of the write may still be in transit. Repeating
+    // the same write at the same version is safe.
+    return write(nextRetryTime(now));
 }
 
 ApplyAction ConfigurationApply::resolveSuccessor(const StoredHead &stored)
 {
-    const std::vector<AppliedEntry> line = lineOf(stored);
-    const AppliedEntry *own = withId(line, m_settings.applyId);
+    const std::vector<AppliedEntry> history = historyOf(stored);
+    const AppliedEntry *own = findById(history, m_settings.applyId);
     if (own != nullptr && !m_settings.mutation.withoutOwnIdLookup) {
         return applied(own->version, entryOf(stored));
     }
-    if (const AppliedEntry *successor = successorOf(line, m_base)) {
+    if (const AppliedEntry *successor = successorOf(history, m_base)) {
         return lostRace(*successor, entryOf(stored));
     }
     return fail(
         ApplyVerdict::Unknown,
         {ErrorKind::UnknownOutcome,
-         "So many files were accepted since that the object no longer tells whether this one was among them; now it holds "
-             + described(entryOf(stored)) + ": compare it with your file and apply again when it differs.",
+         "Too many files were accepted since then for the object's history to show whether this one was among them; it now holds "
+             + describe(entryOf(stored)) + ": compare it with your file and apply again if it differs.",
          milliseconds{0}});
 }
 
@@ -268,8 +270,8 @@
     finished.current = current;
     finished.error =
         Error{ErrorKind::Conflict,
-              "Another file was accepted instead: " + described(winner) + " replaced version " + std::to_string(m_base)
-                  + "; yours was not applied. Take over what has changed, check it with diff, and apply with --if-version "
+              "Another file was accepted instead: " + describe(winner) + " replaced version " + std::to_string(m_base)
+                  + "; yours was not applied. Merge the changes into your file, check it with diff, and apply with --if-version "
                   + std::to_string(current.version) + ".",
               milliseconds{0}};
     return finished;
@@ -290,10 +292,10 @@
     return m_phase == phase && attempt == m_attempt;
 }
 
-TimePoint ConfigurationApply::pauseFrom(TimePoint now)
+TimePoint ConfigurationApply::nextRetryTime(TimePoint now)
 {
-    const TimePoint until = now + m_pause;
-    m_pause = std::min(m_pause * 2, LongestPause);
+    const TimePoint until = now + m_retryDelay;
+    m_retryDelay = std::min(m_retryDelay * 2, MaxRetryDelay);
     return until;
 }
 
--- a/src/core/configuration/configurationcheck.cpp
+++ b/src/core/configuration/configurationcheck.cpp
@@ -1,4 +1,4 @@
-// Finds the contradictions between the entries of a file.
+// Checks the consistency between the entries of a configuration file.
 
 #include "core/configuration/configurationcheck.h"
 
@@ -18,11 +18,12 @@
 namespace
 {
 
-// Shares are decimal fractions in the file; their binary sum may miss 1 by this.
+// The tolerance for rounding errors: shares are decimal fractions in the file, and their
+// binary sum may differ from 1.
 constexpr double ShareTolerance = 1e-9;
 constexpr unsigned MaxPort = 65535;
 
-std::string at(const std::string &list, std::size_t index)
+std::string entryPath(const std::string &list, std::size_t index)
 {
     return '/' + list + '/' + std::to_string(index);
 }
@@ -47,7 +48,7 @@
     return inet_pton(family, host.c_str(), address) == 1;
 }
 
-// Reports each name that an earlier entry has taken.
+// Reports each name that an earlier entry already uses.
 class UniqueNames
 {
 public:
@@ -55,15 +56,15 @@
     {
     }
 
-    void see(const std::string &name, const std::string &path)
+    void add(const std::string &name, const std::string &path)
     {
         if (name.empty()) {
             return;
         }
-        const auto [taken, fresh] = m_paths.emplace(name, path);
-        if (!fresh) {
+        const auto [first, inserted] = m_paths.emplace(name, path);
+        if (!inserted) {
             m_faults.push_back(
-                detail::fault(path, m_what + " '" + name + "' stands at " + taken->second + " already; make it unique"));
+                detail::fault(path, m_what + " '" + name + "' is already used at " + first->second + "; make it unique"));
         }
     }
 
@@ -76,29 +77,29 @@
 void checkDatabases(const Configuration &configuration, std::vector<Error> &faults)
 {
     UniqueNames databaseNames("the database name", faults);
-    // Operators and hosts name an upstream without its database.
+    // Unique over all databases: operators and hosts refer to an upstream without its database.
     UniqueNames upstreamNames("the upstream name", faults);
     for (std::size_t index = 0; index < configuration.databases.size(); ++index) {
         const DatabaseSpec &database = configuration.databases[index];
-        const std::string path = at("databases", index);
-        databaseNames.see(database.name, path + "/name");
-        // One server that counts as two members would be a majority by itself.
+        const std::string path = entryPath("databases", index);
+        databaseNames.add(database.name, path + "/name");
+        // A server that counted as two members could form a majority by itself.
         UniqueNames addresses("the address", faults);
         for (std::size_t member = 0; member < database.upstreams.size(); ++member) {
             const UpstreamSpec &upstream = database.upstreams[member];
-            const std::string memberPath = path + at("upstreams", member);
-            upstreamNames.see(upstream.name, memberPath + "/name");
-            addresses.see(upstream.address, memberPath + "/address");
+            const std::string memberPath = path + entryPath("upstreams", member);
+            upstreamNames.add(upstream.name, memberPath + "/name");
+            addresses.add(upstream.address, memberPath + "/address");
             if (!upstream.address.empty() && !isAddress(upstream.address)) {
-                faults.push_back(
-                    detail::fault(memberPath + "/address",
-                                  "'" + upstream.address + "' is no IP:port; write such as 10.0.0.1:5432 or [fd00::1]:5432"));
+                faults.push_back(detail::fault(memberPath + "/address",
+                                               "'" + upstream.address
+                                                   + "' is not IP:port; write for example 10.0.0.1:5432 or [fd00::1]:5432"));
             }
         }
         const bool allLeave = !database.upstreams.empty()
             && std::all_of(database.upstreams.begin(), database.upstreams.end(), [](const UpstreamSpec &u) { return u.leaving; });
         if (allLeave) {
-            faults.push_back(detail::fault(path + "/upstreams", "all upstreams are leaving; keep one at least"));
+            faults.push_back(detail::fault(path + "/upstreams", "all upstreams are leaving; keep at least one"));
         }
     }
 }
@@ -108,13 +109,13 @@
     UniqueNames names("the class name", faults);
     double reserved = 0;
     for (std::size_t index = 0; index < configuration.classes.size(); ++index) {
-        names.see(configuration.classes[index].name, at("classes", index) + "/name");
+        names.add(configuration.classes[index].name, entryPath("classes", index) + "/name");
         reserved += configuration.classes[index].reservedShare;
     }
     if (reserved > 1 + ShareTolerance) {
         faults.push_back(detail::fault("/classes",
                                        "the reserved shares add up to " + std::to_string(reserved)
-                                           + "; lower them until they add up to 1 at most"));
+                                           + "; lower them so that they add up to at most 1"));
     }
 }
 
@@ -124,18 +125,19 @@
     std::map<std::string, std::string> keyHolders;
     for (std::size_t index = 0; index < configuration.tenants.size(); ++index) {
         const TenantSpec &tenant = configuration.tenants[index];
-        const std::string path = at("tenants", index);
-        names.see(tenant.name, path + "/name");
+        const std::string path = entryPath("tenants", index);
+        names.add(tenant.name, path + "/name");
         if (!tenant.className.empty() && configuration.classNamed(tenant.className) == nullptr) {
-            faults.push_back(detail::fault(
-                path + "/class", "there is no class '" + tenant.className + "'; add it under /classes or name another"));
+            faults.push_back(detail::fault(path + "/class",
+                                           "there is no class '" + tenant.className + "'; add it under /classes or use another"));
         }
         for (const std::string &key : tenant.keys) {
-            const auto [holder, fresh] = keyHolders.emplace(key, tenant.name);
-            if (!fresh && holder->second != tenant.name) {
-                // The key itself is a secret and stays out of the message.
-                faults.push_back(detail::fault(
-                    path + "/keys", "tenant '" + holder->second + "' holds one of these keys already; each key names one"));
+            const auto [holder, inserted] = keyHolders.emplace(key, tenant.name);
+            if (!inserted && holder->second != tenant.name) {
+                // The key is a secret and must not appear in the message.
+                faults.push_back(
+                    detail::fault(path + "/keys",
+                                  "tenant '" + holder->second + "' already has one of these keys; use each key for one tenant"));
             }
         }
     }
@@ -166,18 +168,18 @@
         for (const UpstreamSpec &upstream : database.upstreams) {
             if (!zones.insert(upstream.zone).second) {
                 warnings.push_back("Database " + database.name + " has more than one upstream in availability zone "
-                                   + upstream.zone + "; the loss of that zone may take its majority.");
+                                   + upstream.zone + "; the loss of that zone may cost its majority.");
             }
-            const auto [taken, fresh] = databaseAt.emplace(upstream.address, database.name);
-            if (!fresh && taken->second != database.name) {
-                warnings.push_back("Databases " + taken->second + " and " + database.name + " share the upstream address "
+            const auto [first, inserted] = databaseAt.emplace(upstream.address, database.name);
+            if (!inserted && first->second != database.name) {
+                warnings.push_back("Databases " + first->second + " and " + database.name + " share the upstream address "
                                    + upstream.address + "; their connection limits add up there.");
             }
         }
         const bool even = database.upstreams.size() % 2 == 0;
         if (even) {
             warnings.push_back("Database " + database.name + " has " + std::to_string(database.upstreams.size())
-                               + " upstreams; an odd number survives as many losses with one less.");
+                               + " upstreams; an odd number, one less, tolerates as many failures.");
         }
     }
     return warnings;
--- a/src/core/configuration/configurationcheck.h
+++ b/src/core/configuration/configurationcheck.h
@@ -1,4 +1,4 @@
-// The checks behind parseConfiguration that a JSON Schema cannot make.
+// The checks of parseConfiguration() that a JSON Schema cannot express.
 
 #pragma once
 
@@ -10,8 +10,8 @@
 namespace egrettide::detail
 {
 
-// Every contradiction between entries. Expects the entries at their places in the
-// file; fields that broke the schema hold defaults.
+// Returns every inconsistency between entries. Expects the entries in the order of the
+// file; fields that violate the schema hold their defaults.
 std::vector<Error> crossFaults(const Configuration &configuration);
 
 } // namespace egrettide::detail
--- a/src/core/configuration/configurationdiff.cpp
+++ b/src/core/configuration/configurationdiff.cpp
@@ -1,4 +1,4 @@
-// Tells operators what a file would change.
+// Lists the differences between two configurations for operators.
 
 #include "egrettide/core/configurationfile.h"
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-// Collects the changed fields of one entry as "slots 5 -> 6, zone a -> b".
+// Collects the changed fields of one entry, for example "slots 5 -> 6, zone a -> b".
 class FieldChanges
 {
 public:
@@ -89,7 +89,7 @@
     return quota ? absl::StrCat(quota->perSecond, "/s+", quota->burst) : "unlimited";
 }
 
-// How many of `keys` do not stand in `known`.
+// The number of `keys` that are not in `known`.
 std::size_t missingFrom(const std::vector<std::string> &known, const std::vector<std::string> &keys)
 {
     return static_cast<std::size_t>(
@@ -138,12 +138,12 @@
     if (before.password != after.password) {
         changes.note("password changed");
     }
-    // Keys are secrets: how many come and go is told, never which.
+    // Keys are secrets: only the number of added and removed keys is shown.
     if (const auto added = missingFrom(before.keys, after.keys); added > 0) {
         changes.note(absl::StrCat(added, " key(s) added"));
     }
     if (const auto removed = missingFrom(after.keys, before.keys); removed > 0) {
-        changes.note(absl::StrCat(removed, " key(s) taken away"));
+        changes.note(absl::StrCat(removed, " key(s) removed"));
     }
     changes.compare("quota", textOf(before.quota), textOf(after.quota));
     return changes.text();
--- a/src/core/configuration/configurationfile.cpp
+++ b/src/core/configuration/configurationfile.cpp
@@ -1,4 +1,4 @@
-// Between the file's JSON and Configuration.
+// Conversion between the JSON of the file and Configuration.
 
 #include "egrettide/core/configurationfile.h"
 
@@ -22,8 +22,8 @@
 constexpr std::string_view MajorityName = "majority";
 constexpr std::string_view PrimaryOnlyName = "primary-only";
 
-// The readers below take the default for a field of the wrong type: the schema
-// reports that fault, and the cross checks go on to find the others.
+// The readers below use the default for a field of the wrong type. The schema check reports
+// that fault, and the consistency checks can still find others.
 
 std::string textOf(const json &object, const char *field)
 {
@@ -58,8 +58,7 @@
     return texts;
 }
 
-// Keeps the positions of the array, so that a place in the result is the place in
-// the file.
+// Preserves the indices of the array, so that the paths in error messages refer to the file.
 template <typename Spec> std::vector<Spec> listOf(const json &object, const char *field, Spec (*read)(const json &))
 {
     std::vector<Spec> specs;
@@ -135,12 +134,12 @@
     return configuration;
 }
 
-// Two members of the same name in one JSON object: the parser would silently keep
-// the last, and the operator would believe that the first is in force.
+// Finds duplicate member names within one JSON object. The parser silently keeps the last
+// one, so that the first value would not be in force although it is in the file.
 class DuplicateFinder
 {
 public:
-    void see(json::parse_event_t event, const json &parsed)
+    void onEvent(json::parse_event_t event, const json &parsed)
     {
         switch (event) {
         case json::parse_event_t::object_start:
@@ -220,7 +219,7 @@
 {
     DuplicateFinder duplicates;
     const auto callback = [&duplicates](int, json::parse_event_t event, json &parsed) {
-        duplicates.see(event, parsed);
+        duplicates.onEvent(event, parsed);
         return true;
     };
     try {
@@ -232,9 +231,9 @@
         }
         return faults.empty() ? parsed : tl::make_unexpected(std::move(faults));
     } catch (const json::exception &error) {
-        // Not parse_error alone: a number that no double can hold has a kind of its own.
+        // Not only parse_error: a number that is out of the range of double has another type.
         return tl::make_unexpected(
-            std::vector{detail::fault("", std::string("this is not JSON (") + error.what() + "); mend it there")});
+            std::vector{detail::fault("", std::string("this is not JSON (") + error.what() + "); correct it there")});
     }
 }
 
--- a/src/core/configuration/configurationobject.cpp
+++ b/src/core/configuration/configurationobject.cpp
@@ -1,4 +1,4 @@
-// The form of the configuration object in the store:
+// Serialization of the configuration object in the store:
 // {"applyId","who","earlier":[{"applyId","who","version"}],"file":{...}}.
 
 #include "egrettide/core/configurationapply.h"
@@ -25,10 +25,11 @@
         && entry["version"].is_number_unsigned();
 }
 
-tl::unexpected<Error> notOurs(const char *what)
+tl::unexpected<Error> foreignObjectError(const char *what)
 {
     return tl::make_unexpected(Error{ErrorKind::InvalidInput,
-                                     "The store's object '" + std::string(ConfigurationKey) + "' is not egrettide's (" + what
+                                     "The store's object '" + std::string(ConfigurationKey)
+                                         + "' is not a configuration of egrettide (" + what
                                          + "); find out who wrote it and move it away.",
                                      milliseconds{0}});
 }
@@ -47,15 +48,15 @@
 tl::expected<ConfigurationHead, Error> parseConfigurationHead(const json &object)
 {
     if (!object.is_object() || !hasText(object, "applyId") || !hasText(object, "who")) {
-        return notOurs("no apply id");
+        return foreignObjectError("no apply id");
     }
     if (!object.contains("earlier") || !object["earlier"].is_array()) {
-        return notOurs("no history");
+        return foreignObjectError("no history");
     }
     ConfigurationHead head{object["applyId"].get<std::string>(), object["who"].get<std::string>(), {}};
     for (const json &entry : object["earlier"]) {
         if (!isEntry(entry)) {
-            return notOurs("malformed history");
+            return foreignObjectError("malformed history");
         }
         head.earlier.push_back(
             {entry["applyId"].get<std::string>(), entry["who"].get<std::string>(), entry["version"].get<std::uint64_t>()});
--- a/src/core/configuration/configurationschema.cpp
+++ b/src/core/configuration/configurationschema.cpp
@@ -1,6 +1,5 @@
-// The JSON Schema of the configuration file, built in so that programs need no
-// file beside them. The text is that of schema/configuration.schema.json; a test
-// fails when the two differ.
+// The JSON Schema of the configuration file, compiled in so that the programs need no
+// separate file. Identical to schema/configuration.schema.json; a test compares the two.
 
 #include "egrettide/core/configurationfile.h"
 
--- a/src/core/configuration/configurationstate.cpp
+++ b/src/core/configuration/configurationstate.cpp
@@ -1,4 +1,4 @@
-// Versions at a host only rise.
+// The configuration in force at one host; its version never decreases.
 
 #include "egrettide/core/configurationstate.h"
 
@@ -18,10 +18,9 @@
     if (offered == version() && m_current) {
         return OfferResult::Same;
     }
-    // A store that answers late, a peer that lags or a read that was overtaken
-    // would bring an earlier file back into force; an operator would see a change
-    // vanish. The store never reuses a version, so the order of versions is the
-    // order of acceptance.
+    // A late answer of the store, a peer that lags behind or a read that was overtaken would
+    // put an earlier file back into force, and an accepted change would be undone. The store
+    // never reuses a version, so the order of versions is the order of acceptance.
     if (offered <= version() && !m_mutation.acceptLower) {
         return OfferResult::Stale;
     }
@@ -32,7 +31,7 @@
 
 void ConfigurationState::heardOf(std::uint64_t version)
 {
-    m_newestHeard = std::max(m_newestHeard, version);
+    m_newestKnownVersion = std::max(m_newestKnownVersion, version);
 }
 
 std::shared_ptr<const Configuration> ConfigurationState::current() const
@@ -47,12 +46,12 @@
 
 std::uint64_t ConfigurationState::newestHeard() const
 {
-    return m_newestHeard;
+    return m_newestKnownVersion;
 }
 
 bool ConfigurationState::isBehind() const
 {
-    return m_newestHeard > version();
+    return m_newestKnownVersion > version();
 }
 
 } // namespace egrettide
--- a/src/core/configuration/readerduty.cpp
+++ b/src/core/configuration/readerduty.cpp
@@ -1,4 +1,5 @@
-// The first candidate of a zone reads the store, and the next one when it cannot.
+// Selection of store readers: the first candidate of a zone reads the store, and the next
+// one if the first does not reach it.
 
 #include "egrettide/core/readerduty.h"
 
@@ -15,17 +16,17 @@
 void ReaderDuty::onCandidates(std::vector<std::string> candidates)
 {
     m_candidates = std::move(candidates);
-    m_knowsZone = true;
+    m_candidatesKnown = true;
 }
 
-void ReaderDuty::onReach(bool reached)
+void ReaderDuty::onReach(bool reachable)
 {
-    m_reached = reached;
+    m_storeReachable = reachable;
 }
 
 void ReaderDuty::onHandOver(TimePoint now)
 {
-    m_handedOverUntil = now + m_options.handOverLasts;
+    m_handedOverUntil = now + m_options.handOverValidity;
 }
 
 std::optional<std::size_t> ReaderDuty::rank() const
@@ -42,26 +43,26 @@
     if (m_options.everybodyReads) {
         return true;
     }
-    if (!m_knowsZone) {
+    if (!m_candidatesKnown) {
         return false;
     }
     const auto own = rank();
     return m_candidates.empty() || own == std::size_t{0} || (own && now < m_handedOverUntil);
 }
 
-// What goes wrong without it: the store turns single hosts away, or they are cut off from
-// it alone. Such a reader lives, so membership keeps it in its place, and its zone would
-// hear of no change until another zone's hosts tell.
+// The store may refuse single hosts, or they may be partitioned from the store only. Such a
+// reader is alive, so membership keeps it as the first candidate. Without a hand-over its
+// zone would get no changes until hosts of another zone send them.
 std::optional<std::string> ReaderDuty::handsOverTo(TimePoint now)
 {
-    if (m_options.everybodyReads || m_reached || !reads(now) || now < m_nextWordAt) {
+    if (m_options.everybodyReads || m_storeReachable || !reads(now) || now < m_nextHandOverAt) {
         return std::nullopt;
     }
     const auto own = rank();
-    if (!own || *own + 1 >= std::min(m_candidates.size(), m_options.mostReaders)) {
+    if (!own || *own + 1 >= std::min(m_candidates.size(), m_options.maxReaders)) {
         return std::nullopt;
     }
-    m_nextWordAt = now + m_options.handOverSpacing;
+    m_nextHandOverAt = now + m_options.handOverInterval;
     return m_candidates[*own + 1];
 }
 
--- a/src/core/configuration/schemacheck.cpp
+++ b/src/core/configuration/schemacheck.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-// "<root>", "[databases]", "[0]" become "/databases/0".
+// Converts the context "<root>", "[databases]", "[0]" to "/databases/0".
 std::string pathOf(const std::vector<std::string> &context)
 {
     std::string path;
@@ -29,50 +29,50 @@
     return path;
 }
 
-// The part of the schema that rules one place of a file; null when there is none.
-const json *ruleAt(const json &schema, const std::vector<std::string> &context)
+// The subschema for one place of a file; null if there is none.
+const json *subschemaAt(const json &schema, const std::vector<std::string> &context)
 {
-    const json *rule = &schema;
+    const json *subschema = &schema;
     for (const std::string &step : context) {
         if (step.size() < 2 || step.front() != '[') {
             continue;
         }
         const std::string name = step.substr(1, step.size() - 2);
-        const bool isIndex = rule->contains("items");
-        const json *next = isIndex ? &rule->at("items") : nullptr;
-        if (!isIndex && rule->contains("properties") && rule->at("properties").contains(name)) {
-            next = &rule->at("properties").at(name);
+        const bool isIndex = subschema->contains("items");
+        const json *next = isIndex ? &subschema->at("items") : nullptr;
+        if (!isIndex && subschema->contains("properties") && subschema->at("properties").contains(name)) {
+            next = &subschema->at("properties").at(name);
         }
         if (next == nullptr) {
             return nullptr;
         }
-        rule = next->contains("$ref") ? &schema.at(json::json_pointer(next->at("$ref").get<std::string>().substr(1))) : next;
+        subschema = next->contains("$ref") ? &schema.at(json::json_pointer(next->at("$ref").get<std::string>().substr(1))) : next;
     }
-    return rule;
+    return subschema;
 }
 
-// What to do about one violation, as precisely as the schema says it.
+// The remedy for one violation, derived from the schema.
 std::string remedyFor(const valijson::ValidationResults::Error &error, const json &schema)
 {
     if (error.description.starts_with("Missing required property")) {
         return "add it";
     }
     if (error.description.starts_with("Object contains a property")) {
-        return "remove it or mend its spelling";
+        return "remove it or correct its spelling";
     }
-    const json *rule = ruleAt(schema, error.context);
-    if (rule == nullptr || rule->contains("properties")) {
-        return "write what the schema asks for here";
+    const json *subschema = subschemaAt(schema, error.context);
+    if (subschema == nullptr || subschema->contains("properties")) {
+        return "write a value that meets the schema";
     }
-    json shown = *rule;
+    json shown = *subschema;
     shown.erase("description");
     shown.erase("items");
     return "write a value that meets " + shown.dump();
 }
 
-// The validator also reports every place that contains a faulty one; those reports
-// say nothing of their own.
-bool isEcho(const std::string &description)
+// The validator also reports every element that contains a faulty one; these reports add
+// no information.
+bool isContainerReport(const std::string &description)
 {
     return description.starts_with("Failed to validate against schema associated")
         || description.starts_with("Failed to validate item");
@@ -98,7 +98,7 @@
     std::vector<Error> faults;
     valijson::ValidationResults::Error error;
     while (results.popError(error)) {
-        if (isEcho(error.description)) {
+        if (isContainerReport(error.description)) {
             continue;
         }
         const std::string text = error.description.substr(0, error.description.find_last_not_of('.') + 1);
--- a/src/core/configuration/schemacheck.h
+++ b/src/core/configuration/schemacheck.h
@@ -1,4 +1,4 @@
-// Checks JSON documents against a JSON Schema and words the faults for operators.
+// Checks JSON documents against a JSON Schema and formats the faults for operators.
 
 #pragma once
 
@@ -13,12 +13,12 @@
 namespace egrettide::detail
 {
 
-// An InvalidInput at a JSON path; the text states the fault and the remedy.
+// Returns an InvalidInput at a JSON path; `text` states the fault and the remedy.
 Error fault(const std::string &path, const std::string &text);
 
-// Every violation of the schema (draft 7, itself valid), each with its JSON path
-// ("/databases/0/name: ...") and what the schema asks for there. Faults are
-// reported where they are, not again for each place that contains them.
+// Returns every violation of the schema (a valid draft 7 schema), each with its JSON path
+// ("/databases/0/name: ...") and what the schema requires there. A fault is reported once,
+// not again for each element that contains it.
 std::vector<Error> schemaFaults(std::string_view schema, const nlohmann::json &document);
 
 } // namespace egrettide::detail
--- a/src/core/configuration/storeepoch.cpp
+++ b/src/core/configuration/storeepoch.cpp
@@ -1,4 +1,4 @@
-// Follows the epoch of a store.
+// Tracking of a store's epoch.
 
 #include "egrettide/core/storeepoch.h"
 
--- a/src/core/configuration/upstreamsuccession.cpp
+++ b/src/core/configuration/upstreamsuccession.cpp
@@ -1,4 +1,4 @@
-// Which of several upstreams at one address runs there now.
+// Removal of upstreams whose address a later process has taken over.
 
 #include "egrettide/core/upstreamsuccession.h"
 
@@ -11,17 +11,17 @@
 namespace
 {
 
-// A process that was seen before so many others at its address has been gone for long: a
-// registration lapses within seconds.
-constexpr std::size_t sightingsKept = 8;
-// Addresses without an upstream are forgotten once there are more than this of them.
-constexpr std::size_t idleAddressesKept = 1024;
+// The number of names kept per address. Registrations lapse within seconds, so a process
+// that was seen before this many others at its address has long been gone.
+constexpr std::size_t maxNamesPerAddress = 8;
+// Addresses without an upstream are removed once there are more than this number of them.
+constexpr std::size_t maxIdleAddresses = 1024;
 
 } // namespace
 
 std::vector<SupersededUpstream> UpstreamSuccession::settle(Configuration &configuration)
 {
-    // The heartbeats settle the order of those that are seen first in this call.
+    // Heartbeats determine the order of upstreams that are first seen in this call.
     std::vector<const UpstreamSpec *> all;
     for (const DatabaseSpec &database : configuration.databases) {
         for (const UpstreamSpec &upstream : database.upstreams) {
@@ -31,7 +31,7 @@
     std::ranges::stable_sort(all, std::greater<>(), &UpstreamSpec::heartbeats);
     std::map<std::string, const UpstreamSpec *> latest;
     for (const UpstreamSpec *const upstream : all) {
-        note(*upstream);
+        recordFirstSeen(*upstream);
         const UpstreamSpec *&known = latest[upstream->address];
         if (known == nullptr || isLater(*upstream, *known)) {
             known = upstream;
@@ -39,12 +39,12 @@
     }
     std::map<std::string, std::string> successors;
     for (const UpstreamSpec *const upstream : all) {
-        const UpstreamSpec *const standing = latest.at(upstream->address);
-        if (standing != upstream) {
-            successors.emplace(upstream->name, standing->name);
+        const UpstreamSpec *const current = latest.at(upstream->address);
+        if (current != upstream) {
+            successors.emplace(upstream->name, current->name);
         }
     }
-    std::vector<SupersededUpstream> fresh;
+    std::vector<SupersededUpstream> removed;
     for (DatabaseSpec &database : configuration.databases) {
         std::erase_if(database.upstreams, [&](const UpstreamSpec &upstream) {
             const auto successor = successors.find(upstream.name);
@@ -52,25 +52,25 @@
                 return false;
             }
             if (!m_superseded.contains(upstream.name)) {
-                fresh.push_back({upstream.name, upstream.address, successor->second});
+                removed.push_back({upstream.name, upstream.address, successor->second});
             }
             return true;
         });
     }
     m_superseded = std::move(successors);
-    forgetOldAddresses(configuration);
-    return fresh;
+    removeIdleAddresses(configuration);
+    return removed;
 }
 
-void UpstreamSuccession::note(const UpstreamSpec &upstream)
+void UpstreamSuccession::recordFirstSeen(const UpstreamSpec &upstream)
 {
-    Sightings &sightings = m_sightings[upstream.address];
-    if (std::ranges::find(sightings, upstream.name) != sightings.end()) {
+    Names &names = m_namesByAddress[upstream.address];
+    if (std::ranges::find(names, upstream.name) != names.end()) {
         return;
     }
-    sightings.push_back(upstream.name);
-    if (sightings.size() > sightingsKept) {
-        sightings.pop_front();
+    names.push_back(upstream.name);
+    if (names.size() > maxNamesPerAddress) {
+        names.pop_front();
     }
 }
 
@@ -79,16 +79,16 @@
     if (one.startedAt && other.startedAt && *one.startedAt != *other.startedAt) {
         return *one.startedAt > *other.startedAt;
     }
-    return seenAs(one) > seenAs(other);
+    return firstSeenIndex(one) > firstSeenIndex(other);
 }
 
-std::size_t UpstreamSuccession::seenAs(const UpstreamSpec &upstream) const
+std::size_t UpstreamSuccession::firstSeenIndex(const UpstreamSpec &upstream) const
 {
-    const Sightings &sightings = m_sightings.at(upstream.address);
-    return static_cast<std::size_t>(std::ranges::find(sightings, upstream.name) - sightings.begin());
+    const Names &names = m_namesByAddress.at(upstream.address);
+    return static_cast<std::size_t>(std::ranges::find(names, upstream.name) - names.begin());
 }
 
-void UpstreamSuccession::forgetOldAddresses(const Configuration &configuration)
+void UpstreamSuccession::removeIdleAddresses(const Configuration &configuration)
 {
     std::set<std::string> used;
     for (const DatabaseSpec &database : configuration.databases) {
@@ -96,8 +96,8 @@
             used.insert(upstream.address);
         }
     }
-    if (m_sightings.size() > used.size() + idleAddressesKept) {
-        std::erase_if(m_sightings, [&used](const auto &entry) { return !used.contains(entry.first); });
+    if (m_namesByAddress.size() > used.size() + maxIdleAddresses) {
+        std::erase_if(m_namesByAddress, [&used](const auto &entry) { return !used.contains(entry.first); });
     }
 }
 
--- a/src/core/error.cpp
+++ b/src/core/error.cpp
@@ -1,4 +1,4 @@
-// The fixed table behind ErrorKind.
+// Names, SQLSTATEs and outcomes of the error kinds.
 
 #include "egrettide/core/error.h"
 
@@ -8,13 +8,13 @@
 namespace
 {
 
-struct KindRow {
+struct KindProperties {
     std::string_view name;
     std::string_view sqlState;
     Outcome outcome;
 };
 
-KindRow rowOf(ErrorKind kind)
+KindProperties propertiesOf(ErrorKind kind)
 {
     switch (kind) {
     case ErrorKind::Overloaded:
@@ -61,17 +61,17 @@
 
 Outcome outcomeOf(ErrorKind kind)
 {
-    return rowOf(kind).outcome;
+    return propertiesOf(kind).outcome;
 }
 
 std::string_view sqlStateOf(ErrorKind kind)
 {
-    return rowOf(kind).sqlState;
+    return propertiesOf(kind).sqlState;
 }
 
 std::string_view nameOf(ErrorKind kind)
 {
-    return rowOf(kind).name;
+    return propertiesOf(kind).name;
 }
 
 } // namespace egrettide
--- a/src/core/types.cpp
+++ b/src/core/types.cpp
@@ -1,4 +1,4 @@
-// Names of the shared vocabulary.
+// Names of the basic types' values in logs.
 
 #include "egrettide/core/types.h"
 
--- a/tests/core/configurationfile_test.cpp
+++ b/tests/core/configurationfile_test.cpp
@@ -1,5 +1,5 @@
-// The operators' file: faults are found all at once, with their place and remedy,
-// and what is written is read back the same.
+// Tests of the operators' file: all faults are reported together, each with its place and
+// remedy, and a written file parses to the same configuration.
 
 #define BOOST_TEST_MODULE ConfigurationFile
 #include <boost/test/unit_test.hpp>
@@ -31,7 +31,7 @@
         "tenants": [{"name": "oak", "class": "desks", "password": "secret", "share": 0.25}]})");
 }
 
-// The messages of all faults, one a line.
+// The messages of all faults, one per line.
 std::string faultsOf(const json &file)
 {
     const auto parsed = parseConfiguration(file);
@@ -137,10 +137,12 @@
     expectFault(file, "/tenants/0/class", "no class 'parents'");
     expectFault(file, "/", "'colour'");
     const std::string faults = faultsOf(file);
-    BOOST_TEST(std::count(faults.begin(), faults.end(), '\n') == 6, "expected six faults and no echoes, and got:\n" << faults);
+    BOOST_TEST(std::count(faults.begin(), faults.end(), '\n') == 6,
+               "expected exactly six faults, each reported once, and got:\n"
+                   << faults);
 }
 
-BOOST_AUTO_TEST_CASE(FindsWhatASchemaCannotSay)
+BOOST_AUTO_TEST_CASE(FindsInconsistenciesBetweenEntries)
 {
     json file = validFile();
     file["databases"].push_back(file["databases"][0]);
@@ -153,16 +155,16 @@
 
     file = validFile();
     file["classes"].push_back({{"name", "parents"}, {"reservedShare", 0.6}});
-    expectFault(file, "/classes", "add up to 1 at most");
+    expectFault(file, "/classes", "add up to at most 1");
 
     file = validFile();
     for (json &upstream : file["databases"][0]["upstreams"]) {
         upstream["leaving"] = true;
     }
-    expectFault(file, "/databases/0/upstreams", "keep one");
+    expectFault(file, "/databases/0/upstreams", "keep at least one");
 }
 
-BOOST_AUTO_TEST_CASE(TakesSharesThatAddUpToOneInDecimals)
+BOOST_AUTO_TEST_CASE(AcceptsSharesThatAddUpToOneInDecimals)
 {
     json file = validFile();
     file["classes"] = json::array();
@@ -179,20 +181,20 @@
          {"10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0:1", "host:1", ":1", "10.0.0.1:1x", "fd00::1:5", "[]:1"}) {
         json file = validFile();
         file["databases"][0]["upstreams"][0]["address"] = address;
-        expectFault(file, "/databases/0/upstreams/0/address", "is no IP:port");
+        expectFault(file, "/databases/0/upstreams/0/address", "is not IP:port");
     }
 }
 
-BOOST_AUTO_TEST_CASE(RefusesAMemberThatStandsTwice)
+BOOST_AUTO_TEST_CASE(RefusesDuplicateMembers)
 {
-    // Symptom: an operator's first value is silently not in force.
-    // Sequence: a file with two "classes" is applied. Cause: parsers keep the last.
+    // JSON parsers keep the last of two members with the same name, so that the first value
+    // would silently not be in force.
     const auto parsed = parseConfiguration(std::string_view(R"({"databases":[],"classes":[],"classes":[]})"));
     BOOST_REQUIRE(!parsed.has_value());
     BOOST_TEST(parsed.error().front().message.find("'classes' twice") != std::string::npos, parsed.error().front().message);
 }
 
-BOOST_AUTO_TEST_CASE(NoInputBreaksTheParser)
+BOOST_AUTO_TEST_CASE(InvalidInputIsRefusedWithAPath)
 {
     for (const char *text : {"", "[1", "3", "null", "[]", R"({"databases":{}})", R"({"databases":[3,[],null]})",
                              R"({"databases":[{"name":1e300,"upstreams":[{"slots":99999999999999999999}]}],"tenants":3})"}) {
@@ -234,7 +236,7 @@
 BOOST_AUTO_TEST_CASE(BuiltInSchemaIsThePublishedOne)
 {
     BOOST_TEST(textOf("schema/configuration.schema.json") == configurationSchema(),
-               "copy schema/configuration.schema.json into src/core/configurationschema.cpp");
+               "copy schema/configuration.schema.json into src/core/configuration/configurationschema.cpp");
 }
 
 BOOST_AUTO_TEST_CASE(SamplesOfBothDeploymentsAreValidWithoutWarnings)
--- a/tests/core/readerduty_test.cpp
+++ b/tests/core/readerduty_test.cpp
@@ -1,4 +1,4 @@
-// Which hosts of a zone read the store, whatever happens to those that do.
+// Tests of the selection of store readers, under faults of the readers and of the store.
 
 #define BOOST_TEST_MODULE ReaderDuty
 #include <boost/test/unit_test.hpp>
@@ -20,12 +20,12 @@
 using std::chrono::seconds;
 
 constexpr milliseconds step{100};
-// The bound in which a configuration has to be in force at the size that decides.
+// The time in which a configuration has to be in force in a fleet of the target size.
 constexpr seconds inForceBound{6};
-// Membership finds a dead or frozen host within this.
+// The time in which membership detects a crashed or suspended host.
 constexpr milliseconds detection{3500};
 
-// One zone: its hosts, which of them reach the store, and the words between them.
+// Simulates one zone: its hosts, their access to the store, and the hand-overs between them.
 class Zone
 {
 public:
@@ -34,11 +34,11 @@
         for (std::size_t i = 0; i < hosts; ++i) {
             m_hosts.push_back(Host{"host-" + std::to_string(i), ReaderDuty("host-" + std::to_string(i), options)});
         }
-        agree();
+        updateCandidates();
     }
 
-    // The host answers nobody from now on; the others learn it after the detection time.
-    void freeze(std::size_t host)
+    // The host stops answering; the other hosts detect this after the detection time.
+    void suspend(std::size_t host)
     {
         m_hosts[host].runs = false;
         m_hosts[host].goneAt = m_now + detection;
@@ -49,7 +49,7 @@
         m_hosts[host].reachesStore = !cut;
     }
 
-    void storeIsDown(bool down)
+    void setStoreDown(bool down)
     {
         m_storeDown = down;
     }
@@ -57,22 +57,23 @@
     void run(milliseconds duration)
     {
         for (const TimePoint end = m_now + duration; m_now < end; m_now += step) {
-            if (std::ranges::any_of(m_hosts, [this](const Host &host) { return m_now >= host.goneAt && !host.known; })) {
-                agree();
+            if (std::ranges::any_of(m_hosts, [this](const Host &host) { return m_now >= host.goneAt && !host.detected; })) {
+                updateCandidates();
             }
             for (Host &host : m_hosts) {
-                turn(host);
+                runHost(host);
             }
         }
     }
 
-    // Running hosts that read, and those of them that the store answers.
+    // The number of running hosts that are readers.
     std::size_t readers() const
     {
         return static_cast<std::size_t>(
             std::ranges::count_if(m_hosts, [this](const Host &host) { return host.runs && host.duty.reads(m_now); }));
     }
 
+    // True if the store answers at least one running reader.
     bool isServed() const
     {
         return std::ranges::any_of(m_hosts,
@@ -86,8 +87,8 @@
         bool runs = true;
         bool reachesStore = true;
         TimePoint goneAt = TimePoint::max();
-        // True once the others know that it is gone.
-        bool known = false;
+        // True once the other hosts have detected that it is gone.
+        bool detected = false;
     };
 
     bool answers(const Host &host) const
@@ -95,12 +96,12 @@
         return host.reachesStore && !m_storeDown;
     }
 
-    void agree()
+    void updateCandidates()
     {
         std::vector<std::string> candidates;
         for (Host &host : m_hosts) {
-            host.known = m_now >= host.goneAt;
-            if (!host.known) {
+            host.detected = m_now >= host.goneAt;
+            if (!host.detected) {
                 candidates.push_back(host.name);
             }
         }
@@ -109,7 +110,7 @@
         }
     }
 
-    void turn(Host &host)
+    void runHost(Host &host)
     {
         if (!host.runs) {
             return;
@@ -132,7 +133,7 @@
 
 BOOST_AUTO_TEST_SUITE(ReadersOfAZone)
 
-BOOST_AUTO_TEST_CASE(AreOneHoweverManyHostsThereAre)
+BOOST_AUTO_TEST_CASE(AreOneForAnyNumberOfHosts)
 {
     for (const std::size_t hosts : {1, 3, 50, 64}) {
         Zone zone(hosts);
@@ -141,54 +142,53 @@
     }
 }
 
-// Symptom: a zone hears of no change although all but one of its hosts reach the store.
-// Sequence: the reader is cut off from the store alone; to the other hosts it lives.
-// Cause: only a reader that membership holds for dead was replaced.
+// The reader is cut off from the store only, so that it is alive for the other hosts. If only
+// readers that membership declares dead were replaced, the zone would get no changes although
+// its other hosts reach the store.
 BOOST_AUTO_TEST_CASE(AreReplacedWhenTheStoreDoesNotAnswerThem)
 {
     Zone zone(20);
     zone.cutFromStore(0);
     zone.cutFromStore(1);
     zone.run(inForceBound);
-    BOOST_TEST(zone.isServed(), "nobody reads for a zone whose first two candidates are cut off from the store");
+    BOOST_TEST(zone.isServed(), "no host reads for a zone whose first two candidates are cut off from the store");
     zone.cutFromStore(0, false);
     zone.run(inForceBound);
-    BOOST_TEST(zone.readers() == 1U, "the first candidate reaches the store again and others go on reading");
+    BOOST_TEST(zone.readers() == 1U, "other hosts continue to read although the first candidate reaches the store again");
 }
 
-// Symptom: after a reader's host has frozen its zone stays with an old configuration.
-// Sequence: the reader freezes; the next candidate is cut off from the store.
-// Cause: the duty moved once and not on.
-BOOST_AUTO_TEST_CASE(AreReplacedWhenTheyFreeze)
+// The reader is suspended and the next candidate is cut off from the store. If the role were
+// handed over only once, the zone would keep an old configuration.
+BOOST_AUTO_TEST_CASE(AreReplacedWhenTheyAreSuspended)
 {
     Zone zone(20);
-    zone.freeze(0);
+    zone.suspend(0);
     zone.cutFromStore(1);
     zone.run(inForceBound);
     BOOST_TEST(zone.isServed());
 }
 
-// Symptom: a store that returns is called by hundreds of hosts at once and turns them away.
-// Sequence: the store is down for long; every host finds that its zone's reader is in vain.
-// Cause: the duty was handed on without end.
+// The store is down for a long time. If the role were handed over without limit, all hosts
+// would become readers, and when the store returns, hundreds of them would call it at once and
+// be refused.
 BOOST_AUTO_TEST_CASE(StayFewWhileTheStoreIsDown)
 {
     Zone zone(64);
-    zone.storeIsDown(true);
+    zone.setStoreDown(true);
     for (int second = 0; second < 60; ++second) {
         zone.run(seconds{1});
-        BOOST_REQUIRE_MESSAGE(zone.readers() <= ReaderDutyOptions{}.mostReaders,
+        BOOST_REQUIRE_MESSAGE(zone.readers() <= ReaderDutyOptions{}.maxReaders,
                               zone.readers() << " hosts of one zone call a store that is down");
     }
-    zone.storeIsDown(false);
+    zone.setStoreDown(false);
     zone.run(inForceBound);
     BOOST_TEST(zone.readers() == 1U);
     BOOST_TEST(zone.isServed());
 }
 
-// Whatever two hosts suffer, the zone is served again within the bound as long as one of
-// the first three candidates that live reaches the store.
-BOOST_AUTO_TEST_CASE(AreFoundUnderAnyTwoFaults)
+// After any two faults of hosts the zone is served again within the bound, as long as one of
+// the first three live candidates reaches the store.
+BOOST_AUTO_TEST_CASE(AreSelectedUnderAnyTwoFaults)
 {
     const bool holds = rc::check([] {
         const auto hosts = *rc::gen::inRange<std::size_t>(3, 20);
@@ -196,7 +196,7 @@
         for (int fault = 0; fault < 2; ++fault) {
             const auto host = *rc::gen::inRange<std::size_t>(0, hosts);
             if (*rc::gen::arbitrary<bool>()) {
-                zone.freeze(host);
+                zone.suspend(host);
             } else {
                 zone.cutFromStore(host);
             }
@@ -216,14 +216,15 @@
     BOOST_TEST(zone.readers() == 9U);
 }
 
-// A host that has not met its zone would else be the first candidate of a zone of one.
-BOOST_AUTO_TEST_CASE(AreNotHostsThatHaveNotMetTheirZone)
+// Otherwise a host that has not received its zone's members yet would consider itself the only
+// candidate.
+BOOST_AUTO_TEST_CASE(AreNotHostsWithoutCandidates)
 {
     const ReaderDuty fresh("host-0");
     BOOST_TEST(!fresh.reads(TimePoint{seconds{1}}));
 }
 
-BOOST_AUTO_TEST_CASE(AreNotHostsThatLeaveUnlessNobodyElseIsThere)
+BOOST_AUTO_TEST_CASE(AreNotLeavingHostsUnlessThereIsNoOther)
 {
     ReaderDuty leaving("host-0");
     leaving.onCandidates({"host-1"});
