--- a/include/egrettide/core/histogram.h
+++ b/include/egrettide/core/histogram.h
@@ -1,8 +1,7 @@
-// A latency histogram with fixed buckets: an accumulator of Boost.Accumulators
-// beside its own count, sum and max. The library's density and P-square features
-// place their buckets by the first samples they see, so two threads could not be
-// merged and a Prometheus series would change its buckets; a feature of our own
-// in the same framework has neither fault.
+// A latency histogram with fixed buckets, built on Boost.Accumulators. The library's
+// density and P-square features choose their buckets from the first samples, so that the
+// histograms of two threads could not be merged and the buckets of a Prometheus series
+// would change. A custom accumulator with fixed buckets avoids both.
 
 #pragma once
 
@@ -24,7 +23,7 @@
 namespace detail
 {
 
-// Four buckets for each doubling, so a quantile is off by at most 19 %.
+// Four buckets per doubling limit the error of a quantile to 19 %.
 constexpr int bucketsPerDoubling = 4;
 constexpr int doublings = 20;
 constexpr int bucketCount = bucketsPerDoubling * doublings + 1;
@@ -33,6 +32,7 @@
 
 // The upper bound of a bucket in seconds; infinity for the last.
 double bucketBound(int bucket);
+// The bucket that counts a latency; upper bounds are inclusive.
 int bucketOf(double seconds);
 
 using BucketCounts = std::array<std::uint64_t, bucketCount>;
@@ -67,22 +67,22 @@
 
 } // namespace detail
 
-// One distribution of latencies. Copyable: a scrape reads a copy.
+// A distribution of latencies. Copyable, as scrapes read a copy.
 class Histogram
 {
 public:
     // Records one latency; negative ones count as zero.
     void record(std::chrono::nanoseconds latency);
-    // Adds all that another histogram has recorded.
+    // Adds the samples of another histogram.
     void merge(const Histogram &other);
 
     std::uint64_t count() const;
     std::chrono::nanoseconds sum() const;
     std::chrono::nanoseconds max() const;
-    // The latency below which this part of the samples lies, 0 to 1, interpolated
+    // The latency below which this fraction (0 to 1) of the samples lies, interpolated
     // within its bucket; zero without samples.
-    std::chrono::nanoseconds quantile(double part) const;
-    // Samples of at most the upper bound of this bucket.
+    std::chrono::nanoseconds quantile(double fraction) const;
+    // The number of samples up to the upper bound of this bucket.
     std::uint64_t countUpTo(int bucket) const;
 
 private:
@@ -94,8 +94,7 @@
     double maxSeconds() const;
 
     Accumulator m_accumulator;
-    // What was merged in from other histograms; the accumulators of the library
-    // can't be added up.
+    // Totals of the merged histograms; the library's accumulators cannot be added.
     std::uint64_t m_mergedCount = 0;
     double m_mergedSum = 0;
     double m_mergedMax = 0;
--- a/include/egrettide/core/logstory.h
+++ b/include/egrettide/core/logstory.h
@@ -1,7 +1,7 @@
-// The story of one request, out of the log lines of any number of hosts: what was
-// decided about it, and what the hosts believed at that moment.
+// Builds a trace of one request from the log lines of any number of hosts: the decisions
+// about the request, and the state of the hosts at that time.
 //
-// Pure: lines come in, text comes out.
+// Pure: takes lines and returns text.
 
 #pragma once
 
@@ -16,9 +16,9 @@
 namespace egrettide
 {
 
-// One line that could be read.
+// A parsed log line.
 struct LogLine {
-    // Wall clock of the host that wrote it, in milliseconds since 1970.
+    // Wall-clock time of the host that wrote it, in milliseconds since 1970.
     std::int64_t time = 0;
     std::string host;
     std::string event;
@@ -26,34 +26,34 @@
     nlohmann::ordered_json fields;
 };
 
-// Collects lines, in any order, and tells the story of one request.
+// Collects log lines in any order and describes what happened to one request.
 class LogStory
 {
 public:
-    // `requestId` as the caller knows it.
+    // `requestId` is the id that the caller received.
     explicit LogStory(std::string requestId);
 
-    // Takes one line. What stands before the first brace, such as a collector's own
-    // time, is passed over; a line that is no log line is counted and skipped.
+    // Adds one line. Text before the first brace, such as a log collector's timestamp, is
+    // ignored. A line that is not a log line is counted and skipped.
     void take(std::string_view line);
 
-    // True when a line about the request was taken.
+    // True if a line about the request was added.
     bool found() const;
-    // Lines that could not be read.
+    // The number of lines that could not be parsed.
     std::size_t skipped() const;
-    // The story, a paragraph for each line about the request, in order of time.
+    // Returns one paragraph for each line about the request, in order of time.
     std::string tell() const;
 
 private:
-    std::string tellLine(const LogLine &line) const;
-    std::string tellBeliefs(const LogLine &line) const;
-    std::string tellHome(const LogLine &line) const;
+    std::string describeLine(const LogLine &line) const;
+    std::string describeHostState(const LogLine &line) const;
+    std::string describeHome(const LogLine &line) const;
     const LogLine *newestBefore(const LogLine &line, std::string_view host, std::string_view event,
                                 std::string_view database) const;
 
     const std::string m_requestId;
     std::vector<LogLine> m_lines;
-    std::vector<LogLine> m_beliefs;
+    std::vector<LogLine> m_stateLines;
     std::size_t m_skipped = 0;
 };
 
--- a/include/egrettide/core/metrics.h
+++ b/include/egrettide/core/metrics.h
@@ -1,6 +1,6 @@
-// Counters, gauges and latency histograms with labels, and their rendering in the
-// text format that Prometheus scrapes. One registry belongs to one thread and has
-// no locks; a scrape copies each and merges the copies.
+// Counters, gauges and latency histograms with labels, rendered in the Prometheus text
+// format. Each registry belongs to one thread and has no locks; a scrape copies all
+// registries and merges the copies.
 
 #pragma once
 
@@ -23,21 +23,21 @@
     std::string name;
     std::string value;
 
-    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the 0 of a rewritten comparison for a pointer.
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the 0 of a rewritten comparison for a null pointer.
     friend auto operator<=>(const MetricLabel &, const MetricLabel &) = default;
 };
 
 using MetricLabels = std::vector<MetricLabel>;
 
 struct MetricsOptions {
-    // Distinct values of the label "tenant" that get series of their own; further
-    // tenants share the value "other". Bounds memory and the size of a scrape.
+    // The number of distinct values of the label "tenant"; further tenants share the value
+    // "other". Bounds memory use and the size of a scrape.
     std::size_t maximumTenants = 64;
-    // The bound on series of one metric, whatever their labels.
+    // The maximum number of series of one metric, with any labels.
     std::size_t maximumSeries = 1024;
 };
 
-// One rising count.
+// A count that only increases.
 class Counter
 {
 public:
@@ -54,41 +54,44 @@
     std::uint64_t m_value = 0;
 };
 
-// Metric names are given without the prefix "egrettide_", which rendering adds.
+// The metrics of one thread. Metric names are passed without the prefix "egrettide_", which
+// render() adds.
 class MetricsRegistry
 {
 public:
     explicit MetricsRegistry(const MetricsOptions &options = {});
 
-    // Sets the help line of a metric. Without one the name stands for it.
+    // Sets the help text of a metric. A metric without one is rendered without a HELP line.
     void describe(std::string_view name, std::string_view help);
 
-    // The counter of these labels, made when first asked for; by convention named
-    // "..._total". Valid as long as the registry, so callers on a hot path keep it.
+    // Returns the counter with these labels and creates it on first use; by convention named
+    // "..._total". The reference is valid as long as the registry, so hot paths can keep it.
     Counter &counter(std::string_view name, MetricLabels labels);
-    // The histogram of these labels, likewise; by convention named "..._seconds".
+    // Returns the histogram with these labels, likewise; by convention named "..._seconds".
     Histogram &histogram(std::string_view name, MetricLabels labels);
-    // Sets a gauge. Merging adds gauges of the same labels up.
+    // Sets a gauge. merge() adds up gauges with the same labels.
     void set(std::string_view name, MetricLabels labels, double value);
 
-    // Adds all that another registry holds; the limits hold for the result.
+    // Adds the series of another registry; the limits also apply to the result.
     void merge(const MetricsRegistry &other);
 
-    // Zero when there is no such series.
+    // Zero if there is no such series.
     std::uint64_t counterValue(std::string_view name, MetricLabels labels) const;
-    // Null when there is no such series.
+    // Null if there is no such series.
     const Histogram *findHistogram(std::string_view name, MetricLabels labels) const;
 
-    // Prometheus text exposition format 0.0.4; histograms with one bucket for each
-    // doubling, and p50, p99 and p999 as gauges "..._p50" and so on.
+    // Renders the Prometheus text exposition format 0.0.4. Histograms have one bucket per
+    // doubling, and gauges "..._p50", "..._p99" and "..._p999" for the quantiles.
     std::string render() const;
 
 private:
     template <typename Value> using Series = std::map<MetricLabels, Value>;
     template <typename Value> using Families = std::map<std::string, Series<Value>, std::less<>>;
 
-    MetricLabels admitted(MetricLabels labels);
-    MetricLabels lookedUp(MetricLabels labels) const;
+    // Admits new values of the label "tenant" up to the limit, then as withKnownTenants().
+    MetricLabels withAdmittedTenants(MetricLabels labels);
+    // Replaces tenants that have not been admitted with "other", and sorts the labels.
+    MetricLabels withKnownTenants(MetricLabels labels) const;
     template <typename Value> Value &seriesOf(Families<Value> &families, std::string_view name, MetricLabels labels);
     void renderHead(std::string &out, const std::string &name, std::string_view type) const;
     void renderHistograms(std::string &out) const;
--- a/include/egrettide/core/writegap.h
+++ b/include/egrettide/core/writegap.h
@@ -1,4 +1,4 @@
-// How long a database could not be written to, as the callers of one host saw it.
+// Detects write outages of a database as observed by the callers of one host.
 
 #pragma once
 
@@ -10,36 +10,38 @@
 namespace egrettide
 {
 
-// From the last write that was served before a failed one to the first one served after.
+// The time from the last successful write before a failed one to the first successful
+// write after it.
 struct WriteOutage {
     milliseconds lasted{0};
     std::uint64_t failedWrites = 0;
 };
 
+// Tracks the writes to one database.
 class WriteGap
 {
 public:
-    // Outages shorter than this are single writes that failed for a reason of their own.
+    // Shorter gaps are not outages: single writes may fail for other reasons.
     static constexpr milliseconds shortest{100};
 
-    // Notes a write, or the begin of a transaction that may write. Returns the outage that
-    // it ends.
+    // Records the result of a write, or of the begin of a transaction that may write.
+    // Returns the outage that it ends, if any.
     std::optional<WriteOutage> onWrite(bool served, TimePoint now)
     {
         if (!served) {
-            ++m_failed;
+            ++m_failedWrites;
             return std::nullopt;
         }
-        const WriteOutage outage{std::chrono::duration_cast<milliseconds>(now - m_servedAt.value_or(now)), m_failed};
-        m_servedAt = now;
-        m_failed = 0;
+        const WriteOutage outage{std::chrono::duration_cast<milliseconds>(now - m_lastServedAt.value_or(now)), m_failedWrites};
+        m_lastServedAt = now;
+        m_failedWrites = 0;
         return outage.failedWrites > 0 && outage.lasted >= shortest ? std::optional(outage) : std::nullopt;
     }
 
 private:
-    std::optional<TimePoint> m_servedAt;
-    // Since then.
-    std::uint64_t m_failed = 0;
+    std::optional<TimePoint> m_lastServedAt;
+    // Failed writes since m_lastServedAt.
+    std::uint64_t m_failedWrites = 0;
 };
 
 } // namespace egrettide
--- a/src/core/operators/histogram.cpp
+++ b/src/core/operators/histogram.cpp
@@ -1,4 +1,4 @@
-// Bucket bounds, merging and quantiles.
+// Bucket bounds, merging and quantiles of Histogram.
 
 #include "egrettide/core/histogram.h"
 
@@ -110,20 +110,20 @@
     return total;
 }
 
-std::chrono::nanoseconds Histogram::quantile(double part) const
+std::chrono::nanoseconds Histogram::quantile(double fraction) const
 {
     const std::uint64_t total = count();
     if (total == 0) {
         return std::chrono::nanoseconds{0};
     }
-    const double rank = std::clamp(part, 0.0, 1.0) * static_cast<double>(total);
+    const double rank = std::clamp(fraction, 0.0, 1.0) * static_cast<double>(total);
     const auto &own = accumulators::extract_result<detail::tag::latencyBuckets>(m_accumulator);
     double below = 0;
     for (int bucket = 0; bucket < detail::bucketCount; ++bucket) {
         const auto index = static_cast<std::size_t>(bucket);
         const auto here = static_cast<double>(own[index] + m_mergedCounts[index]);
         if (here > 0 && below + here >= rank) {
-            // The top of the last bucket in use is the largest sample itself.
+            // The last bucket in use ends at the largest sample.
             const double lower = bucket == 0 ? 0.0 : detail::bucketBound(bucket - 1);
             const double upper = std::min(detail::bucketBound(bucket), maxSeconds());
             return toNanoseconds(lower + (upper - lower) * std::max(0.0, rank - below) / here);
--- a/src/core/operators/logstory.cpp
+++ b/src/core/operators/logstory.cpp
@@ -1,4 +1,4 @@
-// The story of one request, out of the log lines of any number of hosts.
+// The trace of one request, built from the log lines of any number of hosts.
 
 #include "egrettide/core/logstory.h"
 
@@ -15,15 +15,16 @@
 namespace
 {
 
-// Events that change what a host believes, as far as requests depend on it.
-constexpr std::array<std::string_view, 15> beliefs{
+// Events that change the state of a host, as far as requests depend on it.
+constexpr std::array<std::string_view, 15> stateEvents{
     "started",    "configuration_accepted", "membership_changed",  "primary_seen",        "primary_announced",
     "home_taken", "home_taken_back",        "home_left",           "store_intent",        "store_registrations",
     "stop_begun", "stop_complete",          "registration_lapsed", "failures_not_logged", "lines_dropped"};
 
-// What a failed request depends on at the host that answered it, whatever its database.
-constexpr std::array<std::string_view, 6> hostBeliefs{"started",      "configuration_accepted", "membership_changed",
-                                                      "store_intent", "store_registrations",    "stop_begun"};
+// Events for the state on which every request depends at the host that answered it,
+// independent of the database.
+constexpr std::array<std::string_view, 6> hostStateEvents{"started",      "configuration_accepted", "membership_changed",
+                                                          "store_intent", "store_registrations",    "stop_begun"};
 
 std::string textOf(const nlohmann::ordered_json &value)
 {
@@ -36,7 +37,7 @@
     return found == line.fields.end() ? std::string() : textOf(*found);
 }
 
-// Every field but those that stand at the head of each paragraph.
+// All fields except those that are shown at the head of each paragraph.
 std::string fieldsOf(const LogLine &line)
 {
     std::string text;
@@ -49,9 +50,9 @@
     return text;
 }
 
-std::string ageOf(const LogLine &belief, const LogLine &at)
+std::string ageOf(const LogLine &state, const LogLine &at)
 {
-    return absl::StrCat(static_cast<std::int64_t>(at.time - belief.time), " ms before");
+    return absl::StrCat(static_cast<std::int64_t>(at.time - state.time), " ms before");
 }
 
 bool byTime(const LogLine &left, const LogLine &right)
@@ -59,14 +60,14 @@
     return left.time < right.time;
 }
 
-// What the caller may rely on.
+// What the caller may assume about the effect of a failed request.
 std::string effectOf(const LogLine &line)
 {
     if (fieldOf(line, "error") == "unknown_outcome") {
-        return "It may have run: look for its effect before it is sent again.";
+        return "It may have run: check its effect before sending it again.";
     }
-    return fieldOf(line, "sent") == "true" ? "It had reached an upstream and left nothing that lasts."
-                                           : "It did not run: nothing of it had left for an upstream.";
+    return fieldOf(line, "sent") == "true" ? "It reached an upstream and had no lasting effect."
+                                           : "It did not run: no part of it was sent to an upstream.";
 }
 
 } // namespace
@@ -98,8 +99,8 @@
     read.fields = std::move(fields);
     if (fieldOf(read, "id") == m_requestId) {
         m_lines.push_back(std::move(read));
-    } else if (std::find(beliefs.begin(), beliefs.end(), read.event) != beliefs.end()) {
-        m_beliefs.push_back(std::move(read));
+    } else if (std::find(stateEvents.begin(), stateEvents.end(), read.event) != stateEvents.end()) {
+        m_stateLines.push_back(std::move(read));
     }
 }
 
@@ -117,54 +118,55 @@
 {
     std::vector<LogLine> lines = m_lines;
     std::stable_sort(lines.begin(), lines.end(), byTime);
-    std::string story;
+    std::string text;
     for (const LogLine &line : lines) {
-        absl::StrAppend(&story, story.empty() ? "" : "\n", tellLine(line));
+        absl::StrAppend(&text, text.empty() ? "" : "\n", describeLine(line));
     }
-    return story;
+    return text;
 }
 
-std::string LogStory::tellLine(const LogLine &line) const
+std::string LogStory::describeLine(const LogLine &line) const
 {
     std::string text =
         absl::StrCat(static_cast<std::int64_t>(line.time), " ", line.host, " ", line.event, "\n  ", fieldsOf(line), "\n");
     if (line.event == "request_failed") {
         absl::StrAppend(&text, "  ", effectOf(line), "\n");
     }
-    absl::StrAppend(&text, tellBeliefs(line), tellHome(line));
+    absl::StrAppend(&text, describeHostState(line), describeHome(line));
     return text;
 }
 
-// The newest line of that event that the host's process wrote up to then; about the
-// database, unless that is empty. What an earlier process of the host believed is over.
+// The newest line with this event that the current process of the host wrote up to the time
+// of `line`; for one database, unless `database` is empty. Lines of earlier processes of the
+// host are ignored, as their state is no longer valid.
 const LogLine *LogStory::newestBefore(const LogLine &line, std::string_view host, std::string_view event,
                                       std::string_view database) const
 {
     const LogLine *start = event == "started" ? nullptr : newestBefore(line, host, "started", {});
     const LogLine *newest = nullptr;
-    for (const LogLine &belief : m_beliefs) {
-        if (start != nullptr && belief.time < start->time) {
+    for (const LogLine &state : m_stateLines) {
+        if (start != nullptr && state.time < start->time) {
             continue;
         }
-        const bool concerns = belief.host == host && belief.event == event && belief.time <= line.time
-            && (database.empty() || fieldOf(belief, "database") == database);
-        if (concerns && (newest == nullptr || belief.time >= newest->time)) {
-            newest = &belief;
+        const bool concerns = state.host == host && state.event == event && state.time <= line.time
+            && (database.empty() || fieldOf(state, "database") == database);
+        if (concerns && (newest == nullptr || state.time >= newest->time)) {
+            newest = &state;
         }
     }
     return newest;
 }
 
-std::string LogStory::tellBeliefs(const LogLine &line) const
+std::string LogStory::describeHostState(const LogLine &line) const
 {
     std::string text;
-    const auto add = [&](const LogLine *belief) {
-        if (belief != nullptr) {
-            absl::StrAppend(&text, "  in force at ", belief->host, ": ", belief->event, " (", fieldsOf(*belief), "), ",
-                            ageOf(*belief, line), "\n");
+    const auto add = [&](const LogLine *state) {
+        if (state != nullptr) {
+            absl::StrAppend(&text, "  in force at ", state->host, ": ", state->event, " (", fieldsOf(*state), "), ",
+                            ageOf(*state, line), "\n");
         }
     };
-    for (const std::string_view event : hostBeliefs) {
+    for (const std::string_view event : hostStateEvents) {
         add(newestBefore(line, line.host, event, {}));
     }
     const std::string database = fieldOf(line, "database");
@@ -174,27 +176,28 @@
     return text;
 }
 
-// The host that held the upstream's connections then, and what it believed. During a
-// change of hosts there may be two, or none.
-std::string LogStory::tellHome(const LogLine &line) const
+// Describes the home of the request's upstream at the time of `line`, that is the host that
+// held the upstream's connections, and its state. While the home moves there may be two, or
+// none.
+std::string LogStory::describeHome(const LogLine &line) const
 {
     const std::string upstream = fieldOf(line, "upstream");
     const std::string database = fieldOf(line, "database");
     if (upstream.empty()) {
         return {};
     }
-    std::vector<LogLine> ordered = m_beliefs;
+    std::vector<LogLine> ordered = m_stateLines;
     std::stable_sort(ordered.begin(), ordered.end(), byTime);
     std::vector<LogLine> holders;
-    for (const LogLine &belief : ordered) {
-        const bool restarted = belief.event == "started";
-        const bool concerns = restarted || fieldOf(belief, "upstream") == upstream;
-        if (belief.time > line.time || !concerns) {
+    for (const LogLine &state : ordered) {
+        const bool restarted = state.event == "started";
+        const bool concerns = restarted || fieldOf(state, "upstream") == upstream;
+        if (state.time > line.time || !concerns) {
             continue;
         }
-        std::erase_if(holders, [&belief](const LogLine &holder) { return holder.host == belief.host; });
-        if (belief.event == "home_taken" || belief.event == "home_taken_back") {
-            holders.push_back(belief);
+        std::erase_if(holders, [&state](const LogLine &holder) { return holder.host == state.host; });
+        if (state.event == "home_taken" || state.event == "home_taken_back") {
+            holders.push_back(state);
         }
     }
     std::string text;
--- a/src/core/operators/metrics.cpp
+++ b/src/core/operators/metrics.cpp
@@ -1,4 +1,4 @@
-// Series by labels, their bounds, and the text format.
+// Series by labels, the limits on their number, and the Prometheus text format.
 
 #include "egrettide/core/metrics.h"
 
@@ -28,7 +28,7 @@
     return absl::StrReplaceAll(help, {{"\\", "\\\\"}, {"\n", "\\n"}});
 }
 
-// The labels in braces, with one more if `extraName` is not empty.
+// Renders the labels in braces, with an additional one if `extraName` is not empty.
 std::string rendered(const MetricLabels &labels, const std::string &extraName = {}, const std::string &extraValue = {})
 {
     std::string text;
@@ -52,7 +52,7 @@
     return labels;
 }
 
-MetricLabels allOther(MetricLabels labels)
+MetricLabels withOtherValues(MetricLabels labels)
 {
     for (MetricLabel &label : labels) {
         label.value = otherValue;
@@ -73,7 +73,7 @@
 
 struct Quantile {
     const char *suffix;
-    double part;
+    double fraction;
 };
 constexpr std::array<Quantile, 3> quantiles{{{"_p50", 0.5}, {"_p99", 0.99}, {"_p999", 0.999}}};
 
@@ -88,17 +88,17 @@
     m_help[std::string(name)] = std::string(help);
 }
 
-MetricLabels MetricsRegistry::admitted(MetricLabels labels)
+MetricLabels MetricsRegistry::withAdmittedTenants(MetricLabels labels)
 {
     for (const MetricLabel &label : labels) {
         if (label.name == tenantLabel && m_tenants.size() < m_options.maximumTenants) {
             m_tenants.insert(label.value);
         }
     }
-    return lookedUp(std::move(labels));
+    return withKnownTenants(std::move(labels));
 }
 
-MetricLabels MetricsRegistry::lookedUp(MetricLabels labels) const
+MetricLabels MetricsRegistry::withKnownTenants(MetricLabels labels) const
 {
     for (MetricLabel &label : labels) {
         if (label.name == tenantLabel && !m_tenants.contains(label.value)) {
@@ -110,10 +110,10 @@
 
 template <typename Value> Value &MetricsRegistry::seriesOf(Families<Value> &families, std::string_view name, MetricLabels labels)
 {
-    labels = admitted(std::move(labels));
+    labels = withAdmittedTenants(std::move(labels));
     Series<Value> &series = families[std::string(name)];
     if (series.size() >= m_options.maximumSeries && !series.contains(labels)) {
-        labels = allOther(std::move(labels));
+        labels = withOtherValues(std::move(labels));
     }
     return series[std::move(labels)];
 }
@@ -159,7 +159,7 @@
     if (family == m_counters.end()) {
         return 0;
     }
-    const auto found = family->second.find(lookedUp(std::move(labels)));
+    const auto found = family->second.find(withKnownTenants(std::move(labels)));
     return found == family->second.end() ? 0 : found->second.value();
 }
 
@@ -169,7 +169,7 @@
     if (family == m_histograms.end()) {
         return nullptr;
     }
-    const auto found = family->second.find(lookedUp(std::move(labels)));
+    const auto found = family->second.find(withKnownTenants(std::move(labels)));
     return found == family->second.end() ? nullptr : &found->second;
 }
 
@@ -192,7 +192,7 @@
         for (const Quantile &quantile : quantiles) {
             renderHead(out, name + quantile.suffix, "gauge");
             for (const auto &[labels, histogram] : series) {
-                const double seconds = toSeconds(histogram.quantile(quantile.part));
+                const double seconds = toSeconds(histogram.quantile(quantile.fraction));
                 absl::StrAppend(&out, prefix, name, quantile.suffix, rendered(labels), " ", seconds, "\n");
             }
         }
