--- a/tests/core/catalogversion_test.cpp
+++ b/tests/core/catalogversion_test.cpp
@@ -1,4 +1,4 @@
-// How copies of the catalog are ordered.
+// Tests of the order of catalog versions.
 
 #define BOOST_TEST_MODULE CatalogVersion
 #include <boost/test/unit_test.hpp>
@@ -9,7 +9,8 @@
 
 BOOST_AUTO_TEST_SUITE(CatalogVersions)
 
-// Guards against hosts that stop hearing of news once the store has made 2^32 changes.
+// Versions must stay ordered beyond 2^32 changes of the store; otherwise hosts would stop
+// getting changes.
 BOOST_AUTO_TEST_CASE(KeepTheirOrderAtAnyRevision)
 {
     constexpr std::uint64_t many = std::uint64_t{1} << 32;
@@ -20,7 +21,7 @@
     BOOST_TEST(!after.lacks(before));
 }
 
-BOOST_AUTO_TEST_CASE(ThatCoverNeitherEachOtherAreOrderedAllTheSame)
+BOOST_AUTO_TEST_CASE(ThatDoNotCoverEachOtherAreStillOrdered)
 {
     const CatalogVersion intent{8, 3};
     const CatalogVersion registrations{7, 9};
@@ -29,7 +30,7 @@
     BOOST_TEST((registrations < intent));
 }
 
-BOOST_AUTO_TEST_CASE(ComeWithTheRevisionsThatWereReadTogether)
+BOOST_AUTO_TEST_CASE(JoinToTheGreaterRevisions)
 {
     BOOST_TEST((CatalogRevisions{8, 3}.joined({7, 9}) == CatalogRevisions{8, 9}));
 }
--- a/tests/core/configurationapply_test.cpp
+++ b/tests/core/configurationapply_test.cpp
@@ -1,7 +1,7 @@
-// Proves the apply decision: operators race over a network that loses, delays and
-// duplicates, against a store that comes and goes. What must hold afterwards:
-// one whole file for each version, no file undone unread, and no operator told
-// anything untrue.
+// Tests of ConfigurationApply: several operators apply files concurrently over a simulated
+// network that loses, delays and duplicates messages, to a store that is unavailable at
+// times. Afterwards each version holds one whole file, no file was overwritten without
+// having been read, and every operator got a correct verdict.
 
 #define BOOST_TEST_MODULE ConfigurationApply
 #include <boost/test/unit_test.hpp>
@@ -26,18 +26,18 @@
 
 const TimePoint Start = TimePoint{} + std::chrono::hours(1);
 
-// A request on its way to the store, or an answer on its way back.
+// A request in transit to the store, or an answer in transit back.
 struct Message {
     std::size_t sender = 0;
     std::uint64_t attempt = 0;
     std::optional<WriteConfiguration> write;
-    // With a write: the version that its sender had read.
+    // For a write: the version that its sender had read.
     std::uint64_t base = 0;
     std::optional<ApplyEvent> answer;
 };
 
-// One operator with the attempt it waits for.
-struct Contender {
+// One operator, with the action whose answer it waits for.
+struct Operator {
     std::string applyId;
     std::unique_ptr<ConfigurationApply> apply;
     std::uint64_t attempt = 0;
@@ -47,20 +47,20 @@
     std::vector<ApplyFinished> results;
 };
 
-// A store, a network and some operators; every choice moves one of them.
+// A simulation of a store, a network and several operators. Each choice determines one step.
 class Race
 {
 public:
-    Race(std::size_t operators, ConfigurationApply::Mutation mutation, bool calmEnd)
+    Race(std::size_t operators, ConfigurationApply::Mutation mutation, bool faultFreeEnd)
     {
         for (std::size_t index = 0; index < operators; ++index) {
-            Contender contender;
-            contender.applyId = "id" + std::to_string(index);
-            contender.apply = std::make_unique<ConfigurationApply>(
-                ConfigurationApply::Settings{contender.applyId, "operator" + std::to_string(index), std::nullopt, mutation});
-            m_contenders.push_back(std::move(contender));
+            Operator client;
+            client.applyId = "id" + std::to_string(index);
+            client.apply = std::make_unique<ConfigurationApply>(
+                ConfigurationApply::Settings{client.applyId, "operator" + std::to_string(index), std::nullopt, mutation});
+            m_operators.push_back(std::move(client));
         }
-        m_calm = calmEnd;
+        m_faultFreeEnd = faultFreeEnd;
     }
 
     void run(const Choices &choices)
@@ -68,15 +68,15 @@
         for (const std::uint16_t choice : choices) {
             step(choice);
         }
-        if (m_calm) {
-            settle();
+        if (m_faultFreeEnd) {
+            runWithoutFaults();
         }
-        for (std::size_t index = 0; index < m_contenders.size(); ++index) {
+        for (std::size_t index = 0; index < m_operators.size(); ++index) {
             start(index);
-            feed(index, ApplyDeadlinePassed{});
+            handle(index, ApplyDeadlinePassed{});
         }
-        // Copies that arrive after everybody has been told must not make it untrue.
-        m_up = true;
+        // Copies that arrive after the verdicts must not invalidate them.
+        m_storeAvailable = true;
         while (!m_network.empty()) {
             deliver(0);
         }
@@ -86,8 +86,8 @@
     {
         std::vector<std::string> found;
         checkHistory(found);
-        for (const Contender &contender : m_contenders) {
-            checkVerdict(contender, found);
+        for (const Operator &client : m_operators) {
+            checkVerdict(client, found);
         }
         return found;
     }
@@ -95,8 +95,8 @@
     std::size_t count(ApplyVerdict verdict) const
     {
         std::size_t total = 0;
-        for (const Contender &contender : m_contenders) {
-            total += !contender.results.empty() && contender.results.front().verdict == verdict ? 1 : 0;
+        for (const Operator &client : m_operators) {
+            total += !client.results.empty() && client.results.front().verdict == verdict ? 1 : 0;
         }
         return total;
     }
@@ -106,9 +106,9 @@
     {
         const std::size_t what = choice % 16;
         const std::size_t which = choice / 16;
-        const std::size_t contender = which % m_contenders.size();
+        const std::size_t client = which % m_operators.size();
         if (what < 3) {
-            start(contender);
+            start(client);
         } else if (what < 10) {
             deliver(which);
         } else if (what == 10) {
@@ -116,63 +116,63 @@
         } else if (what == 11) {
             duplicate(which);
         } else if (what < 14) {
-            giveUp(contender);
+            timeOut(client);
         } else if (what == 14) {
-            m_up = !m_up;
+            m_storeAvailable = !m_storeAvailable;
         } else {
             m_now += milliseconds(which);
         }
     }
 
-    // The network and the store behave for a while.
-    void settle()
+    // Runs without faults for a while.
+    void runWithoutFaults()
     {
-        m_up = true;
+        m_storeAvailable = true;
         for (int round = 0; round < 100; ++round) {
             const std::size_t waiting = m_network.size();
             for (std::size_t index = 0; index < waiting && !m_network.empty(); ++index) {
                 deliver(0);
             }
-            for (std::size_t index = 0; index < m_contenders.size() && m_network.empty(); ++index) {
-                giveUp(index);
+            for (std::size_t index = 0; index < m_operators.size() && m_network.empty(); ++index) {
+                timeOut(index);
             }
         }
     }
 
     void start(std::size_t index)
     {
-        Contender &contender = m_contenders[index];
-        if (!contender.started) {
-            contender.started = true;
-            perform(index, contender.apply->start(m_now));
+        Operator &client = m_operators[index];
+        if (!client.started) {
+            client.started = true;
+            perform(index, client.apply->start(m_now));
         }
     }
 
-    void feed(std::size_t index, const ApplyEvent &event)
+    void handle(std::size_t index, const ApplyEvent &event)
     {
-        Contender &contender = m_contenders[index];
+        Operator &client = m_operators[index];
         const auto *read = std::get_if<ReadAnswered>(&event);
-        if (read != nullptr && read->attempt == contender.attempt) {
-            contender.lastRead = read->stored ? read->stored->version : 0;
+        if (read != nullptr && read->attempt == client.attempt) {
+            client.lastRead = read->stored ? read->stored->version : 0;
         }
-        if (const auto action = contender.apply->handle(event, m_now)) {
+        if (const auto action = client.apply->handle(event, m_now)) {
             perform(index, *action);
         }
     }
 
     void perform(std::size_t index, const ApplyAction &action)
     {
-        Contender &contender = m_contenders[index];
+        Operator &client = m_operators[index];
         if (const auto *read = std::get_if<ReadConfiguration>(&action)) {
-            contender.attempt = read->attempt;
-            contender.writing = false;
+            client.attempt = read->attempt;
+            client.writing = false;
             m_network.push_back({index, read->attempt, std::nullopt, 0, std::nullopt});
         } else if (const auto *write = std::get_if<WriteConfiguration>(&action)) {
-            contender.attempt = write->attempt;
-            contender.writing = true;
-            m_network.push_back({index, write->attempt, *write, contender.lastRead, std::nullopt});
+            client.attempt = write->attempt;
+            client.writing = true;
+            m_network.push_back({index, write->attempt, *write, client.lastRead, std::nullopt});
         } else {
-            contender.results.push_back(std::get<ApplyFinished>(action));
+            client.results.push_back(std::get<ApplyFinished>(action));
         }
     }
 
@@ -185,8 +185,8 @@
         const Message message = *at;
         m_network.erase(at);
         if (message.answer) {
-            feed(message.sender, *message.answer);
-        } else if (m_up) {
+            handle(message.sender, *message.answer);
+        } else if (m_storeAvailable) {
             m_network.push_back({message.sender, message.attempt, std::nullopt, 0, answerTo(message)});
         }
     }
@@ -205,17 +205,17 @@
         }
     }
 
-    // The operator stops waiting; the request or its answer may still be about.
-    void giveUp(std::size_t index)
+    // The operator's call times out; the request or its answer may still be in transit.
+    void timeOut(std::size_t index)
     {
-        const Contender &contender = m_contenders[index];
-        if (!contender.started) {
+        const Operator &client = m_operators[index];
+        if (!client.started) {
             return;
         }
-        if (contender.writing) {
-            feed(index, WriteAnswerLost{contender.attempt});
+        if (client.writing) {
+            handle(index, WriteAnswerLost{client.attempt});
         } else {
-            feed(index, ReadFailed{contender.attempt});
+            handle(index, ReadFailed{client.attempt});
         }
     }
 
@@ -254,41 +254,41 @@
             const std::uint64_t base = m_bases[index];
             const std::uint64_t replaced = index == 0 ? 0 : m_history[index - 1].version;
             if (base != replaced) {
-                found.push_back(head.applyId + " was made from version " + std::to_string(base) + " and undid version "
-                                + std::to_string(replaced) + " unread");
+                found.push_back(head.applyId + " was based on version " + std::to_string(base) + " and overwrote version "
+                                + std::to_string(replaced) + " without reading it");
             }
         }
     }
 
-    void checkVerdict(const Contender &contender, std::vector<std::string> &found) const
+    void checkVerdict(const Operator &client, std::vector<std::string> &found) const
     {
-        if (contender.results.size() != 1) {
-            found.push_back(contender.applyId + " finished " + std::to_string(contender.results.size()) + " times");
+        if (client.results.size() != 1) {
+            found.push_back(client.applyId + " finished " + std::to_string(client.results.size()) + " times");
             return;
         }
-        const ApplyFinished &result = contender.results.front();
-        const StoredHead *stored = accepted(contender.applyId);
+        const ApplyFinished &result = client.results.front();
+        const StoredHead *stored = accepted(client.applyId);
         if (result.verdict == ApplyVerdict::Applied && (stored == nullptr || stored->version != result.version)) {
-            found.push_back(contender.applyId + " was told applied, and it was not");
+            found.push_back(client.applyId + " got Applied, but its file was not accepted");
         }
-        const bool deniesChange = result.verdict != ApplyVerdict::Applied && result.verdict != ApplyVerdict::Unknown;
-        if (deniesChange && stored != nullptr) {
-            found.push_back(contender.applyId + " was told not applied, and it was");
+        const bool isNegative = result.verdict != ApplyVerdict::Applied && result.verdict != ApplyVerdict::Unknown;
+        if (isNegative && stored != nullptr) {
+            found.push_back(client.applyId + " got a negative verdict, but its file was accepted");
         }
         if (result.verdict == ApplyVerdict::LostRace && accepted(result.winner.applyId) == nullptr) {
-            found.push_back(contender.applyId + " was told of a winner that never won: " + result.winner.applyId);
+            found.push_back(client.applyId + " got a winner whose file was not accepted: " + result.winner.applyId);
         }
     }
 
-    std::vector<Contender> m_contenders;
+    std::vector<Operator> m_operators;
     std::vector<Message> m_network;
-    // Every state that the store's object has had, oldest first.
+    // All versions of the store's object, oldest first.
     std::vector<StoredHead> m_history;
-    // For each of them: the version that its operator had read.
+    // For each version: the version that its operator had read.
     std::vector<std::uint64_t> m_bases;
     TimePoint m_now = Start;
-    bool m_up = true;
-    bool m_calm = false;
+    bool m_storeAvailable = true;
+    bool m_faultFreeEnd = false;
 };
 
 Choices randomChoices(std::uint64_t seed)
@@ -301,7 +301,7 @@
     return choices;
 }
 
-// How many of `races` random races end in a violation.
+// The number of random races, out of `races`, that end in a violation.
 int violationsUnder(ConfigurationApply::Mutation mutation, int races)
 {
     int violated = 0;
@@ -322,9 +322,9 @@
 
 template <typename Action> Action expect(const std::optional<ApplyAction> &action)
 {
-    BOOST_REQUIRE_MESSAGE(action.has_value(), "no action came; the event should have called for one");
+    BOOST_REQUIRE_MESSAGE(action.has_value(), "no action was returned, but one was expected");
     const auto *wanted = std::get_if<Action>(&*action);
-    BOOST_REQUIRE_MESSAGE(wanted != nullptr, "action " << action->index() << " came instead of the expected one");
+    BOOST_REQUIRE_MESSAGE(wanted != nullptr, "action " << action->index() << " was returned instead of the expected one");
     return *wanted;
 }
 
@@ -332,9 +332,9 @@
 
 BOOST_AUTO_TEST_SUITE(ConfigurationApplyDecision)
 
-BOOST_AUTO_TEST_CASE(EveryVerdictIsTrueAndNoFileIsUndoneUnread)
+BOOST_AUTO_TEST_CASE(EveryVerdictIsCorrectAndNoFileIsOverwrittenUnread)
 {
-    const bool held = rc::check("racing operators are told the truth", [] {
+    const bool held = rc::check("racing operators get correct verdicts", [] {
         const auto operators = *rc::gen::inRange<std::size_t>(2, 6);
         const auto choices = *rc::gen::container<Choices>(150, rc::gen::arbitrary<std::uint16_t>());
         Race race(operators, {}, *rc::gen::arbitrary<bool>());
@@ -343,10 +343,10 @@
             RC_FAIL(violation);
         }
     });
-    BOOST_TEST(held, "a race broke the promise to operators; the shrunk case above says which step did it");
+    BOOST_TEST(held, "a race ended in a violation; see the shrunk case above");
 }
 
-BOOST_AUTO_TEST_CASE(RacesReachEveryVerdictThatOperatorsMayMeet)
+BOOST_AUTO_TEST_CASE(RacesProduceEveryVerdict)
 {
     std::map<ApplyVerdict, std::size_t> verdicts;
     for (int seed = 0; seed < Races; ++seed) {
@@ -359,50 +359,49 @@
     }
     for (const auto &[verdict, count] : verdicts) {
         BOOST_TEST(count > 100u,
-                   "verdict " << static_cast<int>(verdict) << " came " << count
-                              << " times in the races; the proof above would not cover it");
+                   "verdict " << static_cast<int>(verdict) << " occurred only " << count
+                              << " times in the races; the test above would not cover it");
     }
 }
 
 BOOST_AUTO_TEST_CASE(NaiveUnconditionalWritesLoseUpdates)
 {
-    // Symptom: a colleague's accepted file vanishes though nobody removed it.
-    // Sequence: both operators read version 3; one writes; the other writes too.
-    // Cause: a write that does not name the version it was made from.
+    // Two operators read the same version and both write. Without the expected version in
+    // the write, the second one overwrites the accepted file of the first.
     ConfigurationApply::Mutation naive;
     naive.withoutCompareAndSet = true;
     BOOST_TEST(violationsUnder({}, Races) == 0);
     const int lost = violationsUnder(naive, Races);
-    BOOST_TEST_MESSAGE("unconditional writes broke a promise in " << lost << " of " << Races << " races");
-    BOOST_TEST(lost > 0, "unconditional writes went unnoticed; the proof is blind");
+    BOOST_TEST_MESSAGE("unconditional writes ended in a violation in " << lost << " of " << Races << " races");
+    BOOST_TEST(lost > 0, "the simulation did not detect unconditional writes");
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesAMissingLookForTheOwnId)
+BOOST_AUTO_TEST_CASE(DetectsMissingLookupOfTheOwnId)
 {
     ConfigurationApply::Mutation mutation;
     mutation.withoutOwnIdLookup = true;
-    BOOST_TEST(violationsUnder(mutation, Races) > 0, "taking a lost answer for a lost race went unnoticed; the proof is blind");
+    BOOST_TEST(violationsUnder(mutation, Races) > 0,
+               "the simulation did not detect a lost answer that was reported as a lost race");
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesAMissingHistory)
+BOOST_AUTO_TEST_CASE(DetectsMissingHistory)
 {
     ConfigurationApply::Mutation mutation;
     mutation.withoutHistory = true;
-    BOOST_TEST(violationsUnder(mutation, Races) > 0, "a forgotten replaced file went unnoticed; the proof is blind");
+    BOOST_TEST(violationsUnder(mutation, Races) > 0, "the simulation did not detect a missing history");
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesAWriteThatIsRebasedAfterALostAnswer)
+BOOST_AUTO_TEST_CASE(DetectsRebaseAfterALostAnswer)
 {
     ConfigurationApply::Mutation mutation;
     mutation.rebaseAfterLostAnswer = true;
-    BOOST_TEST(violationsUnder(mutation, Races) > 0, "a file that was applied twice went unnoticed; the proof is blind");
+    BOOST_TEST(violationsUnder(mutation, Races) > 0, "the simulation did not detect a file that was applied twice");
 }
 
 BOOST_AUTO_TEST_CASE(FindsItsOwnFileAfterALostAnswerEvenWhenItWasReplacedSince)
 {
-    // Symptom: the operator of an accepted file is told that it lost.
-    // Sequence: write accepted, answer lost, a colleague replaces the file, read.
-    // Cause: looking at the object's own apply id only.
+    // The write is accepted, its answer is lost, and another operator replaces the file before
+    // the read. If only the object's own apply id were compared, the verdict would be LostRace.
     ConfigurationApply apply(settings());
     const auto read = expect<ReadConfiguration>(apply.start(Start));
     const auto write = expect<WriteConfiguration>(apply.handle(ReadAnswered{read.attempt, std::nullopt}, Start));
@@ -415,7 +414,7 @@
     BOOST_TEST(finished.current.applyId == "theirs");
 }
 
-BOOST_AUTO_TEST_CASE(TellsTheLoserWhoWonAndHowToGoOn)
+BOOST_AUTO_TEST_CASE(LostRaceNamesTheWinnerAndTheRemedy)
 {
     ConfigurationApply apply(settings(4));
     const auto read = expect<ReadConfiguration>(apply.start(Start));
@@ -435,7 +434,7 @@
     BOOST_TEST((finished.verdict == ApplyVerdict::Refused));
 }
 
-BOOST_AUTO_TEST_CASE(SaysUnknownWhenTheHistoryNoLongerTells)
+BOOST_AUTO_TEST_CASE(ReportsUnknownWhenTheHistoryIsTooShort)
 {
     ConfigurationApply apply(settings());
     const auto read = expect<ReadConfiguration>(apply.start(Start));
@@ -450,7 +449,7 @@
     BOOST_TEST((finished.verdict == ApplyVerdict::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(RemembersABoundedHistory)
+BOOST_AUTO_TEST_CASE(HistoryIsBounded)
 {
     StoredHead stored{100, {"last", "bob", {}}};
     for (std::uint64_t version = 1; version < RememberedApplies; ++version) {
--- a/tests/core/configurationfleet.h
+++ b/tests/core/configurationfleet.h
@@ -1,14 +1,12 @@
-// A fleet of hosts that learn configurations and send reads under them, over a
-// seeded schedule of faults: real Membership, Placement, ConfigurationState and
-// Router; a fake store; and the rules by which ConfigurationKeeper asks, offers,
-// pulls and pushes and by which UpstreamHome refuses, written down once more,
-// because those parts do their own I/O. What it proves of the rules is proven of
-// that copy: src/runtime/configurationkeeper.cpp and UpstreamHome::refusalOf have to
-// stay the same. One rule, serveIfKnown, is not in the product yet.
+// A simulated fleet of hosts that receive configurations and send reads, over a seeded
+// schedule of faults. Membership, Placement, ConfigurationState and Router are the real
+// classes; the store is a fake. ConfigurationKeeper and UpstreamHome do their own I/O, so
+// the rules by which they request, offer, pull, push and refuse are reimplemented here and
+// have to be kept in step with src/runtime/configuration/configurationkeeper.cpp and
+// UpstreamHome::refusalOf. One rule, serveIfUpToDate(), exists only in this simulation.
 //
-// Checked at every step: no process goes back to a lower version; an upstream that
-// is leaving starts no new work once its bound has passed. Checked once the faults
-// are over: every host has the newest version.
+// Checked at every step: no process reverts to a lower version, and a leaving upstream gets
+// no new work after the bound. Checked after the faults: all hosts have the newest version.
 
 #pragma once
 
@@ -31,24 +29,24 @@
 namespace egrettide::testing
 {
 
-// Switches that take one mechanism out, and the naive version.
+// Switches that disable single mechanisms, and one for the naive algorithm.
 struct ConfigurationFleetFaults {
-    // Takes what came last in place of what is newest.
+    // Hosts accept the last version received instead of the newest one.
     bool acceptLower = false;
-    // Neither offers nor heartbeats tell of versions: the store alone does.
-    bool silentPeers = false;
-    // Fronts do not look at the configuration's leaving flags, nor at hints'.
+    // Neither offers nor heartbeats report versions; only the store distributes them.
+    bool peersReportNoVersions = false;
+    // Fronts ignore the leaving flags of the configuration and of hints.
     bool frontsIgnoreLeaving = false;
-    // Homes take new work for a leaving upstream.
+    // Homes accept new work for a leaving upstream.
     bool homesIgnoreLeaving = false;
-    // A fresh host serves by the first value that it reads. ConfigurationKeeper does
-    // so today; see docs/PROOFS.md.
-    bool servesUnheard = false;
-    // Every host reads the store now and then and takes what it reads.
+    // A new host serves with the first value that it reads, as ConfigurationKeeper does; see
+    // docs/PROOFS.md.
+    bool servesFirstRead = false;
+    // Every host polls the store and accepts whatever version it reads.
     bool naive = false;
 };
 
-// How often the schedule reached what it is about.
+// Counts of the events that a schedule has to contain to be meaningful.
 struct ConfigurationFleetCounts {
     std::size_t accepted = 0;
     std::size_t staleReads = 0;
@@ -83,15 +81,16 @@
 class ConfigurationFleet
 {
 public:
-    // "Within seconds": 510 hosts have 6 s; these few hosts get no more.
+    // The time in which a configuration has to be in force at all hosts. It applies to fleets
+    // of 510 hosts; the small fleet of this test has no more.
     static constexpr std::chrono::seconds bound{6};
 
     ConfigurationFleet(std::uint64_t seed, ConfigurationFleetFaults faults)
         : m_faults(faults), m_random(seed * 0x9E3779B97F4A7C15ULL + 1), m_fleet(seed)
     {
         m_fleet.onReceive = [this](const std::string &to, const GossipMessage &message) {
-            if (!m_faults.silentPeers) {
-                heardOf(to, message.from, message.catalogVersion.intent);
+            if (!m_faults.peersReportNoVersions) {
+                onVersionReported(to, message.from, message.catalogVersion.intent);
             }
         };
         for (int i = 0; i < hostCount; ++i) {
@@ -99,15 +98,15 @@
         }
     }
 
-    // Runs the schedule and gives the first violation, empty when there is none.
+    // Runs the schedule and returns the first violation, or an empty string.
     std::string run()
     {
-        apply(false);
+        acceptFile(false);
         m_fleet.runFor(std::chrono::seconds{4});
-        faultyTime();
-        heal();
+        runFaults();
+        endFaults();
         expectNewestEverywhere("after the faults were healed");
-        leavingUnderACut();
+        checkLeavingDuringCut();
         return m_violation;
     }
 
@@ -119,8 +118,8 @@
 private:
     static constexpr int hostCount = 8;
     static constexpr int zoneCount = 4;
-    // How long a fresh host waits for a peer that knows more than the store told.
-    static constexpr std::chrono::seconds hearsPeersFor{2};
+    // How long a new host waits for a peer that may report a newer version than the store.
+    static constexpr std::chrono::seconds peerWait{2};
     static constexpr const char *watchKey = "watch";
     static constexpr const char *leavingUpstream = "b";
 
@@ -130,8 +129,8 @@
         TimePoint pullBefore;
         TimePoint startedAt;
         std::string zone;
-        bool heardPeer = false;
-        // Whether its file is in force or still waits for a peer's word.
+        bool peerReported = false;
+        // True once its configuration is in force; before that it waits for a peer's report.
         bool serves = false;
     };
 
@@ -140,14 +139,14 @@
         return GossipFleet::nameOf(i);
     }
 
-    std::uint64_t below(std::uint64_t bound)
+    std::uint64_t randomBelow(std::uint64_t bound)
     {
         return std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(m_random);
     }
 
-    milliseconds upTo(int most)
+    milliseconds randomDelay(int most)
     {
-        return milliseconds{below(static_cast<std::uint64_t>(most) + 1)};
+        return milliseconds{randomBelow(static_cast<std::uint64_t>(most) + 1)};
     }
 
     // ---- Hosts
@@ -168,9 +167,9 @@
         host.router = std::make_unique<Router>(options);
         m_hosts[name] = std::move(host);
         m_fleet.start(name, GossipFleet::zoneOf(i, zoneCount), i, ++m_incarnation, seeds);
-        m_fleet.after(name, upTo(200), [this, name] { look(name); });
-        m_fleet.after(name, hearsPeersFor, [this, name] { serveIfKnown(name); });
-        m_fleet.after(name, upTo(100), [this, name] { read(name); });
+        m_fleet.after(name, randomDelay(200), [this, name] { pollStore(name); });
+        m_fleet.after(name, peerWait, [this, name] { serveIfUpToDate(name); });
+        m_fleet.after(name, randomDelay(100), [this, name] { sendPeriodicRead(name); });
     }
 
     void replaceHost(int i)
@@ -184,7 +183,7 @@
 
     bool reachesStore(const std::string &name) const
     {
-        return !m_storeOut && !m_cutFromStore.contains(m_hosts.at(name).zone);
+        return !m_storeDown && !m_cutFromStore.contains(m_hosts.at(name).zone);
     }
 
     Placement placementOf(const std::string &name)
@@ -203,9 +202,9 @@
         return placementOf(name).homeOf(watchKey, m_hosts.at(name).zone) == name;
     }
 
-    // ---- The keeper's rules
+    // ---- The rules of ConfigurationKeeper
 
-    void look(const std::string &name)
+    void pollStore(const std::string &name)
     {
         const Host &host = m_hosts.at(name);
         const bool watches = isWatcher(name);
@@ -214,58 +213,59 @@
             askStore(name, watches);
         }
         const milliseconds pause = m_faults.naive ? milliseconds{2000} : milliseconds{watches ? 100 : 500};
-        m_fleet.after(name, pause, [this, name] { look(name); });
+        m_fleet.after(name, pause, [this, name] { pollStore(name); });
     }
 
     void askStore(const std::string &name, bool watches)
     {
-        if (!reachesStore(name) || below(20) == 0) {
+        if (!reachesStore(name) || randomBelow(20) == 0) {
             return;
         }
-        // A watch waits for a version above the one held; a read may be answered
-        // from a state that the store had some versions ago.
+        // A watch returns a newer version than the one held; a read may return a state of the
+        // store that is some versions old.
         std::uint64_t version = m_version;
-        if (!watches && m_version > 1 && below(3) == 0) {
-            version -= 1 + below(std::min<std::uint64_t>(3, m_version - 1));
+        if (!watches && m_version > 1 && randomBelow(3) == 0) {
+            version -= 1 + randomBelow(std::min<std::uint64_t>(3, m_version - 1));
             ++m_counts.staleReads;
         }
-        m_fleet.after(name, milliseconds{2} + upTo(below(10) == 0 ? 800 : 20), [this, name, version] { take(name, version); });
+        m_fleet.after(name, milliseconds{2} + randomDelay(randomBelow(10) == 0 ? 800 : 20),
+                      [this, name, version] { offerVersion(name, version); });
     }
 
-    void take(const std::string &name, std::uint64_t version)
+    void offerVersion(const std::string &name, std::uint64_t version)
     {
         Host &host = m_hosts.at(name);
         const std::uint64_t before = host.state->version();
         const OfferResult result = host.state->offer(m_files.at(version));
         m_counts.staleOffers += result == OfferResult::Stale ? 1 : 0;
         if (host.state->version() < before) {
-            fail(absl::StrCat(name, " went back from version ", before, " to ", host.state->version()));
+            fail(absl::StrCat(name, " reverted from version ", before, " to ", host.state->version()));
         }
         if (result != OfferResult::Accepted) {
             return;
         }
-        serveIfKnown(name);
+        serveIfUpToDate(name);
         m_fleet.host(name).setCatalogVersion({version, 0});
-        spread(name);
+        announceVersion(name);
     }
 
-    // What goes wrong without the wait: a host is replaced and reads an old value, by
-    // which an upstream is not leaving; as its home it lets work in until a peer
-    // tells it of the newer file.
-    void serveIfKnown(const std::string &name)
+    // A new host waits for a peer's report before it serves. Without the wait, a host that was
+    // replaced could read an old value in which an upstream is not leaving and, as its home,
+    // accept work for it until a peer reports the newer version.
+    void serveIfUpToDate(const std::string &name)
     {
         Host &host = m_hosts.at(name);
-        const bool waited = m_fleet.now() >= host.startedAt + hearsPeersFor;
-        const bool known = host.heardPeer && !host.state->isBehind();
-        host.serves = host.serves || known || waited || m_faults.servesUnheard;
+        const bool waited = m_fleet.now() >= host.startedAt + peerWait;
+        const bool known = host.peerReported && !host.state->isBehind();
+        host.serves = host.serves || known || waited || m_faults.servesFirstRead;
         if (host.serves && host.state->current()) {
             host.router->configure(seenByFront(*host.state->current()));
         }
     }
 
-    void spread(const std::string &name)
+    void announceVersion(const std::string &name)
     {
-        if (m_faults.silentPeers || m_faults.naive) {
+        if (m_faults.peersReportNoVersions || m_faults.naive) {
             return;
         }
         std::vector<std::string> others;
@@ -276,44 +276,44 @@
         }
         const std::uint64_t version = m_hosts.at(name).state->version();
         for (const std::string &other : others) {
-            send(name, other, [this, name, other, version] { heardOf(other, name, version); });
+            send(name, other, [this, name, other, version] { onVersionReported(other, name, version); });
         }
     }
 
-    void heardOf(const std::string &name, const std::string &from, std::uint64_t version)
+    void onVersionReported(const std::string &name, const std::string &from, std::uint64_t version)
     {
         Host &host = m_hosts.at(name);
         host.state->heardOf(version);
-        host.heardPeer = true;
+        host.peerReported = true;
         if (!host.serves) {
-            serveIfKnown(name);
+            serveIfUpToDate(name);
         }
         if (m_faults.naive || version <= host.state->version() || m_fleet.now() < host.pullBefore) {
             return;
         }
         host.pullBefore = m_fleet.now() + std::chrono::seconds{1};
-        const std::uint64_t mine = host.state->version();
-        send(name, from, [this, name, from, mine] { pulled(from, name, mine); });
+        const std::uint64_t own = host.state->version();
+        send(name, from, [this, name, from, own] { answerPull(from, name, own); });
     }
 
-    void pulled(const std::string &name, const std::string &by, std::uint64_t theirs)
+    void answerPull(const std::string &name, const std::string &by, std::uint64_t peerVersion)
     {
         const std::uint64_t version = m_hosts.at(name).state->version();
-        if (version <= theirs) {
+        if (version <= peerVersion) {
             return;
         }
         send(name, by, [this, by, version] {
             m_hosts.at(by).pullBefore = TimePoint{};
             m_counts.learnedFromPeers += version > m_hosts.at(by).state->version() ? 1 : 0;
-            take(by, version);
+            offerVersion(by, version);
         });
     }
 
-    // Delayed at random, so that messages overtake each other, and now and then doubled.
+    // Sends with a random delay, so that messages may be reordered, and sometimes twice.
     void send(const std::string &from, const std::string &to, const std::function<void()> &action)
     {
-        for (std::uint64_t copies = below(10) == 0 ? 2 : 1; copies > 0; --copies) {
-            m_fleet.transmit(from, to, upTo(below(8) == 0 ? 1500 : 10), action);
+        for (std::uint64_t copies = randomBelow(10) == 0 ? 2 : 1; copies > 0; --copies) {
+            m_fleet.transmit(from, to, randomDelay(randomBelow(8) == 0 ? 1500 : 10), action);
         }
     }
 
@@ -327,10 +327,10 @@
         return configuration;
     }
 
-    void read(const std::string &name)
+    void sendPeriodicRead(const std::string &name)
     {
-        m_fleet.after(name, milliseconds{100}, [this, name] { read(name); });
-        auto work = std::make_shared<Work>();
+        m_fleet.after(name, milliseconds{100}, [this, name] { sendPeriodicRead(name); });
+        auto work = std::make_shared<PendingRead>();
         work->front = name;
         work->request.database = "booking";
         work->request.kind = StatementKind::Read;
@@ -342,23 +342,24 @@
         }
     }
 
-    struct Work {
+    struct PendingRead {
         std::string front;
         StatementRequest request;
         RouteAttempts attempts;
     };
 
-    void sendRead(const std::shared_ptr<Work> &work, const std::string &upstream)
+    void sendRead(const std::shared_ptr<PendingRead> &work, const std::string &upstream)
     {
         const UpstreamSpec *spec = newestConfiguration().databases.front().upstream(upstream);
         const auto home = placementOf(work->front).homeOf(upstream, spec->zone);
         if (home) {
-            m_fleet.transmit(work->front, *home, upTo(5), [this, work, upstream, home] { atHome(work, upstream, *home); });
+            m_fleet.transmit(work->front, *home, randomDelay(5),
+                             [this, work, upstream, home] { handleAtHome(work, upstream, *home); });
         }
     }
 
-    // UpstreamHome::refusalOf, for a read outside a transaction.
-    void atHome(const std::shared_ptr<Work> &work, const std::string &upstream, const std::string &home)
+    // As UpstreamHome::refusalOf, for a read outside a transaction.
+    void handleAtHome(const std::shared_ptr<PendingRead> &work, const std::string &upstream, const std::string &home)
     {
         StatementReply reply;
         const Host &host = m_hosts.at(home);
@@ -371,12 +372,12 @@
             ++m_counts.refusedByHome;
             reply.error = Error{ErrorKind::Leaving, "The upstream is leaving; use another one.", milliseconds{20}};
         } else {
-            started(upstream);
+            recordNewWork(upstream);
         }
-        m_fleet.transmit(home, work->front, upTo(5), [this, work, reply] { answered(work, reply); });
+        m_fleet.transmit(home, work->front, randomDelay(5), [this, work, reply] { onReply(work, reply); });
     }
 
-    void answered(const std::shared_ptr<Work> &work, const StatementReply &reply)
+    void onReply(const std::shared_ptr<PendingRead> &work, const StatementReply &reply)
     {
         Router &router = *m_hosts.at(work->front).router;
         const auto next = router.afterReply(work->request, reply, work->attempts, m_fleet.now(), m_random);
@@ -396,8 +397,8 @@
         return hint;
     }
 
-    // New work reaches an upstream.
-    void started(const std::string &upstream)
+    // Records that new work reached an upstream.
+    void recordNewWork(const std::string &upstream)
     {
         if (upstream != leavingUpstream || !newestConfiguration().databases.front().upstream(upstream)->leaving) {
             return;
@@ -417,7 +418,7 @@
         return m_files.at(m_version);
     }
 
-    void apply(bool leaving)
+    void acceptFile(bool leaving)
     {
         Configuration file;
         file.version = ++m_version;
@@ -433,30 +434,30 @@
         ++m_counts.accepted;
     }
 
-    void faultyTime()
+    void runFaults()
     {
         for (int step = 0; step < 24 && m_violation.empty(); ++step) {
-            oneFault();
-            m_fleet.runFor(milliseconds{100} + upTo(500));
+            injectFault();
+            m_fleet.runFor(milliseconds{100} + randomDelay(500));
         }
     }
 
-    void oneFault()
+    void injectFault()
     {
-        const int chosen = static_cast<int>(below(hostCount));
-        switch (below(8)) {
+        const int chosen = static_cast<int>(randomBelow(hostCount));
+        switch (randomBelow(8)) {
         case 0:
         case 1:
-            if (!m_storeOut) {
-                apply(below(2) == 0);
+            if (!m_storeDown) {
+                acceptFile(randomBelow(2) == 0);
             }
             break;
         case 2:
             cutOneZone();
             break;
         case 3:
-            m_storeOut = !m_storeOut;
-            m_counts.outages += m_storeOut ? 1 : 0;
+            m_storeDown = !m_storeDown;
+            m_counts.outages += m_storeDown ? 1 : 0;
             break;
         case 4:
         case 5:
@@ -467,16 +468,16 @@
             pauseOrResume(nameOf(chosen));
             break;
         default:
-            m_fleet.loss = below(2) == 0 ? 0.0 : 0.15;
+            m_fleet.loss = randomBelow(2) == 0 ? 0.0 : 0.15;
             break;
         }
     }
 
-    // From other zones, from the store, or from both; or heals both.
+    // Cuts a zone off from other zones, from the store, or from both; or ends the cuts.
     void cutOneZone()
     {
-        const std::string zone = GossipFleet::zoneOf(static_cast<int>(below(zoneCount)), zoneCount);
-        const std::uint64_t what = below(4);
+        const std::string zone = GossipFleet::zoneOf(static_cast<int>(randomBelow(zoneCount)), zoneCount);
+        const std::uint64_t what = randomBelow(4);
         m_fleet.cut((what & 1U) != 0 ? std::set<std::string>{zone} : std::set<std::string>{});
         m_cutFromStore = (what & 2U) != 0 ? std::set<std::string>{zone} : std::set<std::string>{};
         m_counts.cuts += what == 0 ? 0 : 1;
@@ -493,8 +494,8 @@
         ++m_counts.paused;
     }
 
-    // The store stays as it is: in half of the schedules it is still out.
-    void heal()
+    // Ends all faults except an outage of the store, which continues in half of the schedules.
+    void endFaults()
     {
         m_fleet.cut({});
         m_cutFromStore.clear();
@@ -504,11 +505,11 @@
         }
     }
 
-    // The newest version that can still be learned: the store's, or while that is
-    // out the highest that any host holds.
+    // The newest version that hosts can still receive: the store's or, while the store is
+    // down, the highest that a host holds.
     std::uint64_t newestWithinReach() const
     {
-        std::uint64_t newest = m_storeOut ? 0 : m_version;
+        std::uint64_t newest = m_storeDown ? 0 : m_version;
         for (const auto &[name, host] : m_hosts) {
             newest = std::max(newest, host.state->version());
         }
@@ -536,33 +537,33 @@
         m_counts.slowestSpread = std::max(m_counts.slowestSpread, *took);
     }
 
-    // An upstream leaves while its zone, and with it the zone's hosts, is cut off
-    // from the store or while others are; peers have to tell them.
-    void leavingUnderACut()
+    // An upstream leaves while the hosts of its zone and of another one are cut off from the
+    // store, so that they have to receive the change from peers.
+    void checkLeavingDuringCut()
     {
         if (!m_violation.empty()) {
             return;
         }
-        m_storeOut = false;
+        m_storeDown = false;
         if (m_version > 0 && newestConfiguration().databases.front().upstream(leavingUpstream)->leaving) {
-            apply(false);
+            acceptFile(false);
         }
         expectNewestEverywhere("after the store returned");
-        m_cutFromStore = {"zone-1", GossipFleet::zoneOf(static_cast<int>(below(zoneCount)), zoneCount)};
+        m_cutFromStore = {"zone-1", GossipFleet::zoneOf(static_cast<int>(randomBelow(zoneCount)), zoneCount)};
         m_fleet.runFor(milliseconds{500});
-        apply(true);
+        acceptFile(true);
         m_noWorkAfter = m_fleet.now() + bound;
         m_fleet.runFor(bound + std::chrono::seconds{1});
-        replaceHost(1); // a host of the leaving upstream's zone, which has to learn it from peers
+        replaceHost(1); // a host of the leaving upstream's zone; receives the change from peers only
         m_fleet.runFor(std::chrono::seconds{2});
         m_cutFromStore.clear();
         expectNewestEverywhere("after the cut from the store ended");
-        freshHostsOfTheZone();
+        replaceHostsOfTheZone();
     }
 
-    // Hosts of the leaving upstream's zone are replaced; some read an old value, by
+    // Replaces hosts of the leaving upstream's zone. Some of the new hosts read an old value in
     // which the upstream is not leaving.
-    void freshHostsOfTheZone()
+    void replaceHostsOfTheZone()
     {
         for (int round = 0; round < 4; ++round) {
             replaceHost(round % 2 == 0 ? 1 : 5);
@@ -583,12 +584,12 @@
     GossipFleet m_fleet;
     std::uint64_t m_incarnation = 1000;
     std::map<std::string, Host> m_hosts;
-    // What the store accepted, by version; versions only rise.
+    // The files that the store accepted, by version; versions only increase.
     std::map<std::uint64_t, Configuration> m_files;
     std::uint64_t m_version = 0;
     TimePoint m_appliedAt;
     TimePoint m_noWorkAfter = TimePoint::max();
-    bool m_storeOut = false;
+    bool m_storeDown = false;
     std::set<std::string> m_cutFromStore;
     std::set<std::string> m_paused;
     ConfigurationFleetCounts m_counts;
--- a/tests/core/configurationspread_test.cpp
+++ b/tests/core/configurationspread_test.cpp
@@ -1,5 +1,5 @@
-// An accepted configuration is in force everywhere within seconds and never
-// reverts, over seeded schedules of faults; see configurationfleet.h.
+// Tests that an accepted configuration comes into force at all hosts within seconds and
+// never reverts, over seeded schedules of faults; see configurationfleet.h.
 
 #define BOOST_TEST_MODULE ConfigurationSpread
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 constexpr std::uint64_t schedules = 100;
 #endif
 
-// The first violation among the schedules that contains the text, else any.
+// The first violation that contains `expected`, or else the first one, over all schedules.
 std::string firstViolation(const ConfigurationFleetFaults &faults, const std::string &expected)
 {
     std::string other;
@@ -53,7 +53,7 @@
                            << counts.staleOffers << " stale offers, " << counts.learnedFromPeers << " learned from peers, "
                            << counts.replaced << " hosts replaced, " << counts.paused << " paused, " << counts.cuts << " cuts, "
                            << counts.outages << " outages; slowest spread " << counts.slowestSpread.count() << " ms");
-    // A schedule without these proves nothing.
+    // The test is only meaningful if the schedules contain enough of each event.
     BOOST_TEST(counts.accepted > 3 * run);
     BOOST_TEST(counts.staleOffers > run);
     BOOST_TEST(counts.staleReads > run / 2);
@@ -64,40 +64,38 @@
     BOOST_TEST(counts.outages > run / 2);
 }
 
-BOOST_AUTO_TEST_CASE(HoldForSchedulesThatNobodyChose)
+BOOST_AUTO_TEST_CASE(HoldForArbitrarySchedules)
 {
-    BOOST_TEST(rc::check("the newest file is everywhere and nobody goes back", [] {
+    BOOST_TEST(rc::check("the newest file is in force at all hosts and no host reverts", [] {
         const std::uint64_t seed = *rc::gen::arbitrary<std::uint64_t>();
         RC_LOG() << "schedule " << seed;
         RC_ASSERT(ConfigurationFleet(seed, {}).run() == "");
     }));
 }
 
-// Symptom: a change that was in force vanishes from some hosts.
-// Sequence: a late answer of the store, or a late push, brings an earlier file.
-// Cause: a host takes what came last in place of what is newest.
-BOOST_AUTO_TEST_CASE(TakingLowerVersionsIsCaught)
+// A host that accepts the last file received instead of the newest one reverts to an earlier
+// file when an answer of the store or a push arrives late.
+BOOST_AUTO_TEST_CASE(AcceptingLowerVersionsIsDetected)
 {
     ConfigurationFleetFaults faults;
     faults.acceptLower = true;
-    const std::string violation = firstViolation(faults, "went back");
-    BOOST_TEST(violation.find("went back") != std::string::npos, "reverting hosts went unnoticed: '" << violation << "'");
+    const std::string violation = firstViolation(faults, "reverted from");
+    BOOST_TEST(violation.find("reverted from") != std::string::npos, "a reverting host was not detected: '" << violation << "'");
 }
 
-// Symptom: hosts that are cut off from the store keep an old file.
-// Sequence: the store is out or cut off; a host that has the newest file meets them.
-// Cause: versions travel through the store alone.
-BOOST_AUTO_TEST_CASE(HostsThatDoNotTellEachOtherAreCaught)
+// If versions are distributed through the store only, hosts that do not reach the store keep
+// an old file although a reachable peer holds the newest one.
+BOOST_AUTO_TEST_CASE(MissingVersionReportsBetweenPeersAreDetected)
 {
     ConfigurationFleetFaults faults;
-    faults.silentPeers = true;
+    faults.peersReportNoVersions = true;
     const std::string violation = firstViolation(faults, "not in force everywhere");
     BOOST_TEST(violation.find("not in force everywhere") != std::string::npos,
-               "silent hosts went unnoticed: '" << violation << "'");
+               "missing reports were not detected: '" << violation << "'");
 }
 
-// The differential test: hosts that poll the store and take what it says.
-BOOST_AUTO_TEST_CASE(NaivePollingIsCaughtWhereEgrettideHolds)
+// Compares with hosts that poll the store and accept whatever version they read.
+BOOST_AUTO_TEST_CASE(NaivePollingIsDetectedOnTheSameSchedules)
 {
     ConfigurationFleetFaults naive;
     naive.naive = true;
@@ -107,7 +105,7 @@
         violations += ConfigurationFleet(seed, naive).run().empty() ? 0 : 1;
         BOOST_TEST(ConfigurationFleet(seed, {}).run() == "");
     }
-    BOOST_TEST_MESSAGE("of " << runs << " schedules polling breaks " << violations);
+    BOOST_TEST_MESSAGE("naive polling over " << runs << " schedules; schedules with a violation: " << violations);
     BOOST_TEST(violations > runs / 2);
 }
 
--- a/tests/core/configurationstate_test.cpp
+++ b/tests/core/configurationstate_test.cpp
@@ -1,4 +1,4 @@
-// Proves that what a host holds only moves forward.
+// Tests that the version of a host's configuration never decreases.
 
 #define BOOST_TEST_MODULE ConfigurationState
 #include <boost/test/unit_test.hpp>
@@ -27,22 +27,22 @@
     return made;
 }
 
-// How often a schedule reached what it is about.
-struct Reached {
+// Counts of the events that a schedule has to contain to be meaningful.
+struct EventCounts {
     int staleOffers = 0;
     int replacements = 0;
     int accepted = 0;
 };
 
-// Hosts that read the store, often late, and pass on what they hold; now and then
-// one is replaced by a fresh host. Returns the first broken promise, or nothing.
+// Simulates hosts that read the store, often late, and pass on what they hold; sometimes a
+// host is replaced by a new one. Returns the first violation, or an empty string.
 std::string firstReversion(const std::vector<std::uint16_t> &choices, ConfigurationState::Mutation mutation,
-                           Reached *reached = nullptr)
+                           EventCounts *counts = nullptr)
 {
-    const auto note = [reached](OfferResult result) {
-        if (reached != nullptr) {
-            reached->staleOffers += result == OfferResult::Stale ? 1 : 0;
-            reached->accepted += result == OfferResult::Accepted ? 1 : 0;
+    const auto note = [counts](OfferResult result) {
+        if (counts != nullptr) {
+            counts->staleOffers += result == OfferResult::Stale ? 1 : 0;
+            counts->accepted += result == OfferResult::Accepted ? 1 : 0;
         }
     };
     std::array<std::unique_ptr<ConfigurationState>, Hosts> hosts;
@@ -60,13 +60,13 @@
             accepted = std::min(accepted + 1, Versions);
             break;
         case 2:
-        case 3: // A read that the store answered some versions ago.
+        case 3: // A read that returns a state of the store that is some versions old.
             note(host.offer(configuration(accepted - std::min<std::uint64_t>(accepted, (choice / 128) % 4))));
             break;
         case 4:
             hosts[(choice / 8) % Hosts] = std::make_unique<ConfigurationState>(mutation);
-            if (reached != nullptr) {
-                ++reached->replacements;
+            if (counts != nullptr) {
+                ++counts->replacements;
             }
             continue;
         default:
@@ -76,7 +76,7 @@
             break;
         }
         if (host.version() < before) {
-            return "a host went from version " + std::to_string(before) + " to " + std::to_string(host.version());
+            return "a host reverted from version " + std::to_string(before) + " to " + std::to_string(host.version());
         }
         if (host.current() && host.current()->applyId != "id" + std::to_string(host.version())) {
             return "version " + std::to_string(host.version()) + " holds the file of " + host.current()->applyId;
@@ -91,37 +91,36 @@
 
 BOOST_AUTO_TEST_CASE(NeverReverts)
 {
-    Reached reached;
-    const bool held = rc::check("versions at a host only rise, whatever the store and fresh hosts bring", [&reached] {
+    EventCounts counts;
+    const bool held = rc::check("versions at a host never decrease, whatever the store and new hosts offer", [&counts] {
         const auto choices = *rc::gen::container<std::vector<std::uint16_t>>(120, rc::gen::arbitrary<std::uint16_t>());
-        RC_ASSERT(firstReversion(choices, {}, &reached) == "");
+        RC_ASSERT(firstReversion(choices, {}, &counts) == "");
     });
-    BOOST_TEST_MESSAGE(reached.accepted << " accepted, " << reached.staleOffers << " stale, " << reached.replacements
-                                        << " replaced");
-    BOOST_TEST(reached.staleOffers > 100, "hardly any offer was stale; the proof proves little");
-    BOOST_TEST(reached.replacements > 100, "hardly any host was replaced");
-    BOOST_TEST(reached.accepted > 100);
-    BOOST_TEST(held, "a host went back to an earlier file; the shrunk case above says by which offer");
+    BOOST_TEST_MESSAGE(counts.accepted << " accepted, " << counts.staleOffers << " stale, " << counts.replacements
+                                       << " replaced");
+    BOOST_TEST(counts.staleOffers > 100, "too few offers were stale for a meaningful test");
+    BOOST_TEST(counts.replacements > 100, "too few hosts were replaced for a meaningful test");
+    BOOST_TEST(counts.accepted > 100);
+    BOOST_TEST(held, "a host reverted to an earlier file; see the shrunk case above");
 }
 
-BOOST_AUTO_TEST_CASE(ProofNoticesAHostThatTakesLowerVersions)
+BOOST_AUTO_TEST_CASE(DetectsAHostThatAcceptsLowerVersions)
 {
-    // Symptom: a change that was in force vanishes from some hosts.
-    // Sequence: a fresh host reads an old value and passes it to its peers.
-    // Cause: a host that takes what came last in place of what is newest.
+    // A new host reads an old value and passes it to its peers. A host that accepts the last
+    // version received instead of the newest one reverts.
     std::mt19937_64 random(7);
-    int noticed = 0;
+    int detected = 0;
     for (int run = 0; run < 100; ++run) {
         std::vector<std::uint16_t> choices(120);
         for (std::uint16_t &choice : choices) {
             choice = static_cast<std::uint16_t>(random());
         }
-        noticed += firstReversion(choices, {true}).empty() ? 0 : 1;
+        detected += firstReversion(choices, {true}).empty() ? 0 : 1;
     }
-    BOOST_TEST(noticed > 0, "reverting hosts went unnoticed; the proof is blind");
+    BOOST_TEST(detected > 0, "the simulation did not detect reverting hosts");
 }
 
-BOOST_AUTO_TEST_CASE(SaysWhatBecameOfAnOffer)
+BOOST_AUTO_TEST_CASE(OfferReturnsItsResult)
 {
     ConfigurationState state;
     BOOST_TEST((state.current() == nullptr));
@@ -132,7 +131,7 @@
     BOOST_TEST(state.version() == 5u);
 }
 
-BOOST_AUTO_TEST_CASE(KnowsThatItIsBehindOnceItHearsOfANewerVersion)
+BOOST_AUTO_TEST_CASE(IsBehindOnceANewerVersionIsKnown)
 {
     ConfigurationState state;
     state.offer(configuration(5));
--- a/tests/core/error_test.cpp
+++ b/tests/core/error_test.cpp
@@ -1,4 +1,4 @@
-// What callers may conclude from each kind of error.
+// Tests of the outcome of each kind of error.
 
 #define BOOST_TEST_MODULE Error
 #include <boost/test/unit_test.hpp>
--- a/tests/core/leaving_test.cpp
+++ b/tests/core/leaving_test.cpp
@@ -1,6 +1,6 @@
-// An upstream that is leaving gets no new work after a few seconds, also where its
-// own zone's hosts are cut off from the store and learn it from peers only; see
-// configurationfleet.h. The change of a leaving primary is proven in group_test.
+// Tests that a leaving upstream gets no new work after a few seconds, even if the hosts of
+// its zone are cut off from the store and receive the change from peers only; see
+// configurationfleet.h. group_test covers the replacement of a leaving primary.
 
 #define BOOST_TEST_MODULE Leaving
 #include <boost/test/unit_test.hpp>
@@ -15,8 +15,8 @@
 namespace
 {
 
-// Looked through until a schedule shows what a missing mechanism does. Of 200, 8 show it
-// where peers are silent, the first at 33.
+// The schedules that are searched for one in which a missing mechanism leads to a violation.
+// With silent peers 8 of 200 do so, the first at seed 33.
 constexpr std::uint64_t schedulesToCatch = 60;
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 constexpr std::uint64_t schedules = 20;
@@ -51,16 +51,15 @@
     }
     BOOST_TEST_MESSAGE(counts.reads << " reads, " << counts.readsAtLeaving << " at the leaving upstream within the bound, "
                                     << counts.refusedByHome << " refused by its home");
-    // Work reaches it before the news does, or the bound is never tried.
+    // Some work must reach it before the change does, as the bound is not tested otherwise.
     BOOST_TEST(counts.readsAtLeaving > schedules);
-    BOOST_TEST(counts.refusedByHome > 0U, "no front was behind its home; the home's refusal was never tried");
+    BOOST_TEST(counts.refusedByHome > 0U, "no front lagged behind the home; the home's refusal was not tested");
     BOOST_TEST(counts.reads > 100 * schedules);
 }
 
-// Symptom: a drained upstream still runs statements, and stopping it cuts them.
-// Sequence: fronts that do not know send it reads; its home lets them in.
-// Cause: nobody looks at the flag.
-BOOST_AUTO_TEST_CASE(ThatNobodyAvoidsAreCaught)
+// If neither fronts nor homes check the flag, a drained upstream still runs statements, which
+// fail when it is stopped.
+BOOST_AUTO_TEST_CASE(ThatFrontsAndHomesIgnoreAreDetected)
 {
     ConfigurationFleetFaults faults;
     faults.frontsIgnoreLeaving = true;
@@ -69,34 +68,31 @@
     BOOST_TEST(violation.find("got new work") != std::string::npos, "found '" << violation << "'");
 }
 
-// Symptom: as above, in a zone that is cut off from the store.
-// Sequence: the file is accepted; the hosts of the zone do not hear of it.
-// Cause: versions travel through the store alone.
-BOOST_AUTO_TEST_CASE(OfAZoneWithoutTheStoreAreCaughtWhenPeersAreSilent)
+// If versions are distributed through the store only, hosts of a zone that is cut off from
+// the store do not receive the file and keep sending work.
+BOOST_AUTO_TEST_CASE(OfAZoneWithoutTheStoreAreDetectedWhenPeersAreSilent)
 {
     ConfigurationFleetFaults faults;
-    faults.silentPeers = true;
+    faults.peersReportNoVersions = true;
     bool caught = false;
     for (std::uint64_t seed = 1; seed <= schedulesToCatch && !caught; ++seed) {
         caught = ConfigurationFleet(seed, faults).run().find("got new work") != std::string::npos;
     }
-    BOOST_TEST(caught, "the leaving upstream got no work although nobody told its zone");
+    BOOST_TEST(caught, "the leaving upstream got no work although its zone did not receive the change");
 }
 
-// Symptom: a drained upstream gets reads again, many seconds after it was drained.
-// Sequence: the host that is its home is replaced; the fresh host reads an old value
-// from the store, by which the upstream is not leaving, and takes reads for it until
-// a peer tells it of the newer file.
-// Cause: the first value that a host reads is in force at once.
-BOOST_AUTO_TEST_CASE(GetWorkThroughFreshHostsThatServeUnheard)
+// The home of a drained upstream is replaced. The new host reads an old value from the store,
+// in which the upstream is not leaving. If that value is in force at once, the upstream gets
+// reads again, many seconds after the drain, until a peer reports the newer version.
+BOOST_AUTO_TEST_CASE(GetWorkThroughNewHostsThatServeTheirFirstRead)
 {
     ConfigurationFleetFaults faults;
-    faults.servesUnheard = true;
+    faults.servesFirstRead = true;
     const std::string violation = firstViolation(faults);
     BOOST_TEST(violation.find("got new work") != std::string::npos, "found '" << violation << "'");
 }
 
-// The home alone protects the upstream from fronts that do not know or do not care.
+// The home protects the upstream from fronts that have an old configuration or ignore the flag.
 BOOST_AUTO_TEST_CASE(AreProtectedByTheirHomeFromFrontsThatIgnoreIt)
 {
     ConfigurationFleetFaults faults;
--- a/tests/core/logstory_test.cpp
+++ b/tests/core/logstory_test.cpp
@@ -1,4 +1,4 @@
-// The story of one request, out of the log lines of several hosts.
+// Tests of the trace of one request, built from the log lines of several hosts.
 
 #define BOOST_TEST_MODULE LogStory
 #include <boost/test/unit_test.hpp>
@@ -26,13 +26,13 @@
     R"({"time_ms":1700,"level":"info","host":"front-1","event":"configuration_accepted","version":21})",
     R"({"time_ms":1800,"level":"warning","host":"front-1","event":"request_failed","id":"xyz","database":"booking","upstream":"u1","sent":true,"error":"unknown_outcome","reason":"Its answer was lost."})"};
 
-std::string storyOf(const std::string &id, const std::vector<std::string> &taken)
+std::string traceOf(const std::string &id, const std::vector<std::string> &added)
 {
-    LogStory story(id);
-    for (const std::string &line : taken) {
-        story.take(line);
+    LogStory trace(id);
+    for (const std::string &line : added) {
+        trace.take(line);
     }
-    return story.tell();
+    return trace.tell();
 }
 
 bool contains(const std::string &text, const std::string &part)
@@ -42,62 +42,61 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(LogStoryOfARequest)
+BOOST_AUTO_TEST_SUITE(TraceOfARequest)
 
-BOOST_AUTO_TEST_CASE(TellsWhatWasInForceAtThatMoment)
+BOOST_AUTO_TEST_CASE(ShowsTheStateAtThatTime)
 {
-    const std::string story = storyOf("abc", lines);
-    BOOST_TEST(contains(story, "Not run: no slot."), story);
-    BOOST_TEST(contains(story, "It did not run"), story);
-    BOOST_TEST(contains(story, "version 20"), "the version in force then is missing:\n" << story);
-    BOOST_TEST(!contains(story, "version 21"), "a later version is told:\n" << story);
-    BOOST_TEST(contains(story, "home of u1: front-2, since 400 ms before"), story);
-    BOOST_TEST(contains(story, "in force at front-2: primary_seen"), "what the home believed is missing:\n" << story);
+    const std::string trace = traceOf("abc", lines);
+    BOOST_TEST(contains(trace, "Not run: no slot."), trace);
+    BOOST_TEST(contains(trace, "It did not run"), trace);
+    BOOST_TEST(contains(trace, "version 20"), "the version in force at that time is missing:\n" << trace);
+    BOOST_TEST(!contains(trace, "version 21"), "a later version is shown:\n" << trace);
+    BOOST_TEST(contains(trace, "home of u1: front-2, since 400 ms before"), trace);
+    BOOST_TEST(contains(trace, "in force at front-2: primary_seen"), "the state of the home is missing:\n" << trace);
 }
 
-BOOST_AUTO_TEST_CASE(TellsAnUnknownOutcomeAsSuch)
+BOOST_AUTO_TEST_CASE(ReportsAnUnknownOutcome)
 {
-    const std::string story = storyOf("xyz", lines);
-    BOOST_TEST(contains(story, "It may have run"), story);
-    BOOST_TEST(contains(story, "home of u1: none in these lines"), "the home had left:\n" << story);
+    const std::string trace = traceOf("xyz", lines);
+    BOOST_TEST(contains(trace, "It may have run"), trace);
+    BOOST_TEST(contains(trace, "home of u1: none in these lines"), "the home had been left:\n" << trace);
 }
 
-// Symptom: a host is said to be stopping although it runs for minutes already.
-// Sequence: it stopped, started again, and then the request failed.
-// Cause: what the process before had written was told as being in force.
-BOOST_AUTO_TEST_CASE(ForgetsWhatAnEarlierProcessOfTheHostBelieved)
+// A host was restarted before the request failed. Lines that its previous process wrote must
+// not count as its state; otherwise a running host is shown as stopping.
+BOOST_AUTO_TEST_CASE(IgnoresTheStateOfAnEarlierProcessOfTheHost)
 {
-    std::vector<std::string> taken = lines;
-    taken.push_back(R"({"time_ms":900,"level":"info","host":"front-1","event":"stop_begun","callers":3})");
-    const std::string story = storyOf("abc", taken);
-    BOOST_TEST(!contains(story, "stop_begun"), story);
+    std::vector<std::string> added = lines;
+    added.push_back(R"({"time_ms":900,"level":"info","host":"front-1","event":"stop_begun","callers":3})");
+    const std::string trace = traceOf("abc", added);
+    BOOST_TEST(!contains(trace, "stop_begun"), trace);
 }
 
-BOOST_AUTO_TEST_CASE(SkipsAndCountsWhatIsNoLogLine)
+BOOST_AUTO_TEST_CASE(SkipsAndCountsInvalidLines)
 {
-    LogStory story("abc");
-    story.take("plain words");
-    story.take("{\"time_ms\":");
-    story.take("{\"time_ms\":\"soon\",\"host\":\"front-1\",\"event\":\"started\"}");
-    story.take("[1]");
-    story.take("");
-    story.take("  41.2 front-1 " + lines[4]);
-    BOOST_TEST(story.skipped() == 4U, story.skipped() << " lines were skipped, not 4");
-    BOOST_TEST(story.found(), "a collector's prefix must not hide a line");
+    LogStory trace("abc");
+    trace.take("plain words");
+    trace.take("{\"time_ms\":");
+    trace.take("{\"time_ms\":\"soon\",\"host\":\"front-1\",\"event\":\"started\"}");
+    trace.take("[1]");
+    trace.take("");
+    trace.take("  41.2 front-1 " + lines[4]);
+    BOOST_TEST(trace.skipped() == 4U, trace.skipped() << " lines were skipped, not 4");
+    BOOST_TEST(trace.found(), "a collector's prefix must not hide a line");
 }
 
 BOOST_AUTO_TEST_CASE(DoesNotDependOnTheOrderOfLines)
 {
-    BOOST_TEST(rc::check("any order tells the same", [] {
+    BOOST_TEST(rc::check("any order gives the same text", [] {
         std::vector<std::string> shuffled = lines;
         std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937_64(*rc::gen::arbitrary<std::uint64_t>()));
-        RC_ASSERT(storyOf("abc", shuffled) == storyOf("abc", lines));
+        RC_ASSERT(traceOf("abc", shuffled) == traceOf("abc", lines));
     }));
 }
 
 BOOST_AUTO_TEST_CASE(SurvivesAnyBytes)
 {
-    BOOST_TEST(rc::check("lines of any content", [](const std::vector<std::string> &taken) { storyOf("abc", taken); }));
+    BOOST_TEST(rc::check("lines of any content", [](const std::vector<std::string> &added) { traceOf("abc", added); }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/metrics_test.cpp
+++ b/tests/core/metrics_test.cpp
@@ -1,4 +1,4 @@
-// Histograms, bounded series, merging of threads, and the text that is scraped.
+// Tests of histograms, the limits on series, merging of registries, and the rendered text.
 
 #define BOOST_TEST_MODULE Metrics
 #include <boost/test/unit_test.hpp>
@@ -63,8 +63,8 @@
         for (const double part : {0.5, 0.99, 0.999}) {
             const auto rank = static_cast<std::size_t>(std::ceil(part * static_cast<double>(ordered.size())));
             const double truth = ordered[std::max<std::size_t>(rank, 1) - 1];
-            const double told = std::chrono::duration<double, std::micro>(histogram.quantile(part)).count();
-            RC_ASSERT(std::abs(told - truth) <= std::max(truth * 0.19, 100.0) + 1);
+            const double estimate = std::chrono::duration<double, std::micro>(histogram.quantile(part)).count();
+            RC_ASSERT(std::abs(estimate - truth) <= std::max(truth * 0.19, 100.0) + 1);
         }
     }));
 }
@@ -129,9 +129,8 @@
 
 BOOST_AUTO_TEST_CASE(TenantsBeyondTheLimitShareOneSeries)
 {
-    // Symptom: the memory of a host and the size of a scrape grow without end.
-    // Sequence: callers come under ever new tenant names.
-    // Cause: each name made a series of its own.
+    // If every tenant name had its own series, callers with ever new names would let the memory
+    // of a host and the size of a scrape grow without limit.
     MetricsOptions options;
     options.maximumTenants = 2;
     MetricsRegistry registry(options);
--- a/tests/core/rewritedelay_test.cpp
+++ b/tests/core/rewritedelay_test.cpp
@@ -1,4 +1,4 @@
-// What a store has to take when all hosts write again what it may have lost.
+// Tests of the load on a restored store when all hosts rewrite their data.
 
 #define BOOST_TEST_MODULE RewriteDelay
 #include <boost/test/unit_test.hpp>
@@ -13,10 +13,10 @@
 namespace
 {
 
-// Of the smallest deployments; larger ones have more.
+// The write rate of the store in the smallest deployments; larger ones accept more.
 constexpr std::size_t writesPerSecond = 400;
 
-// The most writes within any second.
+// The maximum number of writes within one second.
 std::size_t busiestSecond(std::size_t hosts, std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
@@ -37,7 +37,8 @@
 
 BOOST_AUTO_TEST_SUITE(RewriteDelays)
 
-// Guards against a store that refuses operators and upstreams because every host writes at the same moment.
+// If all hosts wrote at the same time, the store would refuse the writes of operators and
+// upstreams.
 BOOST_AUTO_TEST_CASE(LeaveMostOfTheStoresRateToOthers)
 {
     for (const std::size_t hosts : {10, 30, 100, 300, 510}) {
--- a/tests/core/storeepoch_test.cpp
+++ b/tests/core/storeepoch_test.cpp
@@ -1,4 +1,4 @@
-// Which epoch a store is taken to be in.
+// Tests of the tracking of store epochs and of the order of revisions.
 
 #define BOOST_TEST_MODULE StoreEpoch
 #include <boost/test/unit_test.hpp>
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoreEpochs)
 
-BOOST_AUTO_TEST_CASE(AreNotNamedByEveryStore)
+BOOST_AUTO_TEST_CASE(AreOptional)
 {
     StoreEpochTracker tracker;
     BOOST_TEST((tracker.onAnswer("") == EpochNews::Current));
@@ -33,12 +33,12 @@
     StoreEpochTracker tracker;
     tracker.onAnswer("3");
     for (const char *text : {"x", "4x", "-4", "4.5", "16777216", "99999999999999999999999"}) {
-        BOOST_TEST((tracker.onAnswer(text) == EpochNews::Malformed), text << " was taken");
+        BOOST_TEST((tracker.onAnswer(text) == EpochNews::Malformed), text << " was accepted");
     }
     BOOST_TEST(tracker.current() == 3U);
 }
 
-// Guards against revisions of a restored store that count as older than what was known before.
+// A restored store continues with lower revision numbers, which must not count as older.
 BOOST_AUTO_TEST_CASE(OrderRevisionsBeforeTheirNumbers)
 {
     const StoreRevision before{1, 500};
--- a/tests/core/upstreamsuccession_test.cpp
+++ b/tests/core/upstreamsuccession_test.cpp
@@ -1,4 +1,4 @@
-// Which of several upstreams at one address counts.
+// Tests of the removal of superseded upstreams.
 
 #define BOOST_TEST_MODULE UpstreamSuccession
 #include <boost/test/unit_test.hpp>
@@ -27,7 +27,7 @@
     return upstream;
 }
 
-// The names that stay, in order.
+// The names that remain, in order.
 std::vector<std::string> settled(UpstreamSuccession &succession, std::vector<UpstreamSpec> upstreams)
 {
     Configuration configuration;
@@ -49,23 +49,22 @@
 
 BOOST_AUTO_TEST_SUITE(UpstreamsAtOneAddress)
 
-// Symptom: a leaving primary keeps its place until requests reach it too late.
-// Sequence: three members crash behind a cut and start again; the registrations of the
-// crashed ones stand, and were even written again after the cut; the promotion asks for a
-// majority of eight members of which three live.
-// Cause: an upstream whose address had another process by then still counted as a member.
-BOOST_AUTO_TEST_CASE(AreOneMemberTheOneThatWasSeenLast)
+// Three members crash during a network partition and restart. The registrations of the
+// crashed processes remain, and delayed ones are written again after the partition. If they
+// counted as members, a promotion would need a majority of eight members of which three are
+// alive, and a leaving primary would get requests after it has to be out of service.
+BOOST_AUTO_TEST_CASE(CountAsOneMemberTheLastSeen)
 {
     UpstreamSuccession succession;
     BOOST_TEST((settled(succession, {upstreamAt("old", "10.0.0.1:1", 1)}) == Names{"old"}));
     BOOST_TEST((settled(succession, {upstreamAt("old", "10.0.0.1:1", 1), upstreamAt("new", "10.0.0.1:1", 3)}) == Names{"new"}));
     BOOST_TEST((settled(succession, {upstreamAt("new", "10.0.0.1:1", 3)}) == Names{"new"}));
-    // The held up registration of the old one arrives.
+    // The delayed registration of the old one arrives.
     BOOST_TEST((settled(succession, {upstreamAt("new", "10.0.0.1:1", 3), upstreamAt("old", "10.0.0.1:1", 14)}) == Names{"new"}),
-               "a registration that was held up brought a dead upstream back");
+               "a delayed registration brought a crashed upstream back");
 }
 
-BOOST_AUTO_TEST_CASE(GoByTheirStartWhereTheyTellIt)
+BOOST_AUTO_TEST_CASE(AreOrderedByStartTimeIfStated)
 {
     UpstreamSuccession succession;
     const auto late = upstreamAt("late", "10.0.0.1:1", 9, milliseconds{2000});
@@ -74,36 +73,36 @@
     BOOST_TEST((settled(succession, {late, early}) == Names{"late"}), "an earlier start won because it was seen later");
 }
 
-BOOST_AUTO_TEST_CASE(SeenTogetherGoByTheirHeartbeats)
+BOOST_AUTO_TEST_CASE(SeenTogetherAreOrderedByHeartbeats)
 {
     UpstreamSuccession succession;
     BOOST_TEST((settled(succession, {upstreamAt("a", "10.0.0.1:1", 40), upstreamAt("b", "10.0.0.1:1", 2)}) == Names{"b"}));
 }
 
-BOOST_AUTO_TEST_CASE(ComeBackWhenTheLaterOneIsGone)
+BOOST_AUTO_TEST_CASE(ReturnWhenTheLaterOneIsGone)
 {
-    // Nothing is lost for good over an entry that should not have stood there.
+    // An erroneous entry does not remove an upstream permanently.
     UpstreamSuccession succession;
     settled(succession, {upstreamAt("real", "10.0.0.1:1", 1)});
     BOOST_TEST((settled(succession, {upstreamAt("real", "10.0.0.1:1", 1), upstreamAt("odd", "10.0.0.1:1", 1)}) == Names{"odd"}));
     BOOST_TEST((settled(succession, {upstreamAt("real", "10.0.0.1:1", 1)}) == Names{"real"}));
 }
 
-BOOST_AUTO_TEST_CASE(AreToldOnceEach)
+BOOST_AUTO_TEST_CASE(AreReportedOnce)
 {
     UpstreamSuccession succession;
     Configuration configuration;
     configuration.databases.emplace_back();
     configuration.databases.front().upstreams = {upstreamAt("old", "10.0.0.1:1", 5), upstreamAt("new", "10.0.0.1:1", 1)};
     Configuration again = configuration;
-    const auto told = succession.settle(configuration);
-    BOOST_REQUIRE(told.size() == 1U);
-    BOOST_TEST(told.front().name == "old");
-    BOOST_TEST(told.front().successor == "new");
-    BOOST_TEST(succession.settle(again).empty(), "a superseded upstream was told twice");
+    const auto reported = succession.settle(configuration);
+    BOOST_REQUIRE(reported.size() == 1U);
+    BOOST_TEST(reported.front().name == "old");
+    BOOST_TEST(reported.front().successor == "new");
+    BOOST_TEST(succession.settle(again).empty(), "a superseded upstream was reported twice");
 }
 
-BOOST_AUTO_TEST_CASE(LeaveOneForEachAddressWhateverComes)
+BOOST_AUTO_TEST_CASE(LeaveOneForEachAddress)
 {
     const bool holds = rc::check("one upstream for each address, and none of another address lost", [] {
         UpstreamSuccession succession;
--- a/tests/core/writegap_test.cpp
+++ b/tests/core/writegap_test.cpp
@@ -1,4 +1,4 @@
-// How long a database could not be written to, as callers saw it.
+// Tests of the detection of write outages as observed by callers.
 
 #define BOOST_TEST_MODULE WriteGap
 #include <boost/test/unit_test.hpp>
@@ -29,10 +29,10 @@
     BOOST_TEST_REQUIRE(outage.has_value());
     BOOST_TEST(outage->lasted.count() == 1200);
     BOOST_TEST(outage->failedWrites == 2U);
-    BOOST_TEST(!gap.onWrite(true, at(1300)).has_value(), "an outage was told twice");
+    BOOST_TEST(!gap.onWrite(true, at(1300)).has_value(), "an outage was reported twice");
 }
 
-BOOST_AUTO_TEST_CASE(AreNoneWhileNobodyWrites)
+BOOST_AUTO_TEST_CASE(AreNoneWithoutFailedWrites)
 {
     WriteGap gap;
     gap.onWrite(true, at(0));
@@ -51,7 +51,7 @@
 {
     WriteGap gap;
     gap.onWrite(false, at(0));
-    BOOST_TEST(!gap.onWrite(true, at(5000)).has_value(), "nothing is known of the time before");
+    BOOST_TEST(!gap.onWrite(true, at(5000)).has_value(), "the time before the first successful write was counted");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
