--- a/src/core/configuration/configurationcheck.cpp
+++ b/src/core/configuration/configurationcheck.cpp
@@ -99,7 +99,7 @@
         const bool allLeave = !database.upstreams.empty()
             && std::all_of(database.upstreams.begin(), database.upstreams.end(), [](const UpstreamSpec &u) { return u.leaving; });
         if (allLeave) {
-            faults.push_back(detail::fault(path + "/upstreams", "all upstreams are leaving; keep at least one"));
+            faults.push_back(detail::fault(path + "/upstreams", "all upstreams are leaving; keep one or more"));
         }
     }
 }
