--- a/src/core/fleet/membership.cpp
+++ b/src/core/fleet/membership.cpp
@@ -1,4 +1,4 @@
-// Events of this host, what follows the size of the fleet, and the view.
+// Membership: events of this host, parameters derived from the fleet's size, and the view.
 
 #include "core/fleet/membershipstate.h"
 
@@ -12,11 +12,11 @@
 namespace
 {
 
-// Fleets up to this size keep the shortest tick.
+// Size, in bits, up to which a fleet keeps the shortest tick.
 constexpr double smallFleetBits = 5;
-// Messages that a record rides on, per bit of the fleet's size.
-constexpr double rumorsPerBit = 1;
-constexpr int rumorsAtLeast = 3;
+// Retransmissions of an update, per bit of the fleet's size.
+constexpr double retransmitsPerBit = 1;
+constexpr int minRetransmits = 3;
 
 } // namespace
 
@@ -27,19 +27,19 @@
     , m_table(options.remembersIncarnations)
     , m_lastTickAt(now)
     , m_nextPeriodAt(now)
-    , m_mayForgetAt(now)
+    , m_nextForgetAt(now)
     , m_lastSyncAt(now - std::chrono::hours{1})
     , m_lastChangeAt(now)
 {
     m_self.health = HostHealth::Live;
-    m_table.set(m_self, now, rumorCount());
+    m_table.set(m_self, now, retransmitCount());
 }
 
 milliseconds Membership::State::period() const
 {
     const double factor = std::max(1.0, sizeBits() / smallFleetBits);
     const auto scaled = std::chrono::duration_cast<milliseconds>(m_options.tick * factor);
-    return std::min(scaled, m_options.largestTick);
+    return std::min(scaled, m_options.maxTick);
 }
 
 double Membership::State::sizeBits() const
@@ -53,9 +53,9 @@
     return std::chrono::duration_cast<milliseconds>(period() * std::max(1.0, ticks));
 }
 
-int Membership::State::rumorCount() const
+int Membership::State::retransmitCount() const
 {
-    return std::max(rumorsAtLeast, static_cast<int>(rumorsPerBit * sizeBits()));
+    return std::max(minRetransmits, static_cast<int>(retransmitsPerBit * sizeBits()));
 }
 
 std::vector<GossipSend> Membership::State::onHostList(const std::vector<HostSeed> &seeds)
@@ -67,37 +67,37 @@
             m_seeds.emplace(seed.name, seed);
         }
     }
-    if (!std::exchange(m_listed, true) && !m_departed) {
+    if (!std::exchange(m_hasHostList, true) && !m_departed) {
         introduceSelf(sends);
     }
     return sends;
 }
 
-// Symptom: after a power cut nothing is served for a second although all hosts run.
-// Sequence: all start at once, and each pings one listed host in each period; the views
-// stand still, and homes are taken, only several periods later.
-// So hosts of the first list are pinged at once, and answer with their own records. 2 to
-// 24 hosts that started within 0.2 s all know each other 20 ms after the last start (in
-// simulated time).
+// Pings the hosts of the first list at once; they answer with their own records. With one listed
+// host pinged per period, hosts that all start together after a power failure need several periods
+// until their views settle, and no home is taken for a second. With this, 2 to 24 hosts that
+// started within 0.2 s all know each other 20 ms after the last start (in simulated time).
 //
-// Also those that this host knows by hearsay alone: what goes wrong otherwise is that a
-// faster host tells it of all others before the list is there, and these hear of it only
-// with their next heartbeats. Of nine hosts that lost power together one knew the last of
-// the others 0.7 s after its start.
+// Hosts that are known only from records of others are pinged as well: a faster host may send its
+// records before the list is read, and the hosts in them would learn of this host only with their
+// next heartbeats. Of nine hosts that lost power together, one knew the last of the others only 0.7
+// s after its start.
 void Membership::State::introduceSelf(Sends &sends)
 {
-    std::vector<const HostSeed *> unmet;
+    std::vector<const HostSeed *> uncontacted;
     for (const auto &[name, seed] : m_seeds) {
         const Member *member = m_table.find(name);
-        const bool isMet = member != nullptr && member->record.health != HostHealth::Dead && member->heardAt != TimePoint{};
-        if (!isMet) {
-            unmet.push_back(&seed);
+        const bool wasContacted =
+            member != nullptr && member->record.health != HostHealth::Dead && member->lastContactAt != TimePoint{};
+        if (!wasContacted) {
+            uncontacted.push_back(&seed);
         }
     }
-    std::shuffle(unmet.begin(), unmet.end(), m_random);
-    std::stable_partition(unmet.begin(), unmet.end(), [this](const HostSeed *seed) { return seed->zone == m_self.zone; });
-    unmet.resize(std::min(unmet.size(), m_options.introductions));
-    for (const HostSeed *seed : unmet) {
+    std::shuffle(uncontacted.begin(), uncontacted.end(), m_random);
+    std::stable_partition(uncontacted.begin(), uncontacted.end(),
+                          [this](const HostSeed *seed) { return seed->zone == m_self.zone; });
+    uncontacted.resize(std::min(uncontacted.size(), m_options.introductions));
+    for (const HostSeed *seed : uncontacted) {
         GossipMessage introduction = message(GossipKind::Ping, ++m_sequence);
         introduction.target = seed->name;
         introduction.records.push_back(m_self);
@@ -107,11 +107,11 @@
 
 bool Membership::State::hasMetZone() const
 {
-    const auto isMet = [this](const auto &entry) {
+    const auto isKnown = [this](const auto &entry) {
         const Member *member = m_table.find(entry.first);
         return entry.second.zone != m_self.zone || (member != nullptr && member->record.health != HostHealth::Dead);
     };
-    return m_listed && std::all_of(m_seeds.begin(), m_seeds.end(), isMet);
+    return m_hasHostList && std::all_of(m_seeds.begin(), m_seeds.end(), isKnown);
 }
 
 HostReach Membership::State::reach(TimePoint now) const
@@ -124,7 +124,7 @@
         const HostRecord &record = member.record;
         const bool isLive = record.health == HostHealth::Live;
         const bool lostLately = record.health == HostHealth::Suspect || now - member.healthSince < HostReach::lossWindow;
-        // A leaving host that falls silent has left.
+        // A leaving host that falls silent has left and is no loss.
         const bool counts = name != m_self.name && (isLive || (lostLately && !record.leaving));
         if (!counts) {
             continue;
@@ -153,11 +153,11 @@
     return sends;
 }
 
-// Tells the watched at once; from there it spreads like any other news.
+// Sends the change to the watched peers at once; from there it spreads like any other update.
 void Membership::State::announceSelf(TimePoint now, Sends &sends)
 {
-    m_table.set(m_self, now, rumorCount());
-    tellWatched(sends);
+    m_table.set(m_self, now, retransmitCount());
+    pingWatched(sends);
 }
 
 std::vector<GossipSend> Membership::State::leave(TimePoint now)
@@ -191,8 +191,8 @@
         return;
     }
     m_self.catalogVersion = version;
-    m_table.applyVersion(m_table.find(m_self.name)->key, version, rumorCount());
-    // The next heartbeat leaves at once.
+    m_table.applyVersion(m_table.find(m_self.name)->key, version, retransmitCount());
+    // Makes the next heartbeat due at once.
     m_nextPeriodAt = m_lastTickAt;
 }
 
--- a/src/core/fleet/membershipnews.cpp
+++ b/src/core/fleet/membershipnews.cpp
@@ -1,4 +1,4 @@
-// Messages: what rides on them, whose word counts, and how views are reconciled.
+// Membership: messages, precedence of the updates in them, and reconciliation of views.
 
 #include "core/fleet/membershipstate.h"
 
@@ -12,19 +12,20 @@
 namespace
 {
 
-// Pings made for others: how long their answer is passed on, and how many at once.
+// Pings on behalf of other hosts: how long their answer is relayed, and how many may be
+// outstanding.
 constexpr std::chrono::seconds relayLifetime{2};
 constexpr std::size_t maxRelays = 256;
-// Fleets up to this size pass on as news what a reconciliation brings.
-constexpr std::size_t smallFleet = 32;
-// Ticks between two reconciliations that one host begins while news is still on
-// its way; once it should have arrived, as many as the fleet's size has bits.
+// Fleets up to this size forward the records that a reconciliation brings as updates.
+constexpr std::size_t smallFleetHosts = 32;
+// Ticks between two reconciliations begun by one host while updates are still spreading. Later the
+// spacing is as many ticks as the fleet's size has bits.
 constexpr int ticksPerSyncInFlux = 20;
-// More differing buckets than this are no piece of news on its way, but a host
-// that joins or a partition that healed.
-constexpr std::size_t bucketsInFlux = 4;
-// Hearsay of a death that is checked in one tick.
-constexpr std::size_t checksPerTick = 1;
+// More differing buckets than this are not caused by spreading updates, but by a host that joins or
+// a partition that healed.
+constexpr std::size_t maxBucketsInFlux = 4;
+// Reported deaths that are verified by a probe in one tick.
+constexpr std::size_t deathChecksPerTick = 1;
 
 } // namespace
 
@@ -41,18 +42,19 @@
     return message;
 }
 
-void Membership::State::addNews(GossipMessage &message, const std::string &receiver)
+void Membership::State::addUpdates(GossipMessage &message, const std::string &receiver)
 {
-    auto news = m_table.takeRecords(m_options.recordsPerMessage);
-    message.records.insert(message.records.end(), news.begin(), news.end());
+    auto records = m_table.takeRecords(m_options.recordsPerMessage);
+    message.records.insert(message.records.end(), records.begin(), records.end());
     message.healthNotes = m_table.takeHealthNotes(m_options.healthNotesPerMessage);
     message.versionNotes = m_table.takeVersionNotes(m_options.versionNotesPerMessage);
-    // Whoever is held suspect or dead has to hear it from us: only it can refute.
+    // A host that is considered suspect or dead needs to receive that record from us, since only it
+    // can refute.
     const Member *member = m_table.find(receiver);
     if (member != nullptr && member->record.health != HostHealth::Live) {
-        const bool told = std::any_of(message.records.begin(), message.records.end(),
-                                      [&](const HostRecord &record) { return record.name == receiver; });
-        if (!told) {
+        const bool included = std::any_of(message.records.begin(), message.records.end(),
+                                          [&](const HostRecord &record) { return record.name == receiver; });
+        if (!included) {
             message.records.push_back(member->record);
         }
     }
@@ -60,7 +62,7 @@
 
 void Membership::State::send(const std::string &peer, const std::string &address, GossipMessage message, Sends &sends)
 {
-    addNews(message, peer);
+    addUpdates(message, peer);
     sends.push_back(GossipSend{peer, address, std::move(message)});
 }
 
@@ -70,84 +72,84 @@
     if (m_departed || message.from.empty() || message.from == m_self.name) {
         return sends;
     }
-    takeNews(message, now);
-    hearFrom(message, now);
+    applyUpdates(message, now);
+    noteContact(message, now);
     switch (message.kind) {
     case GossipKind::Ping:
-        answerPing(message, sends);
+        onPing(message, sends);
         break;
     case GossipKind::Ack:
-        takeAck(message, now, sends);
+        onAck(message, now, sends);
         break;
     case GossipKind::PingRequest:
-        relayPing(message, now, sends);
+        onPingRequest(message, now, sends);
         break;
     case GossipKind::IndirectAck:
         m_probes.erase(message.target);
         break;
     case GossipKind::Sync:
-        answerSync(message, sends);
+        onSync(message, sends);
         break;
     case GossipKind::SyncReply:
-        takeSyncReply(message, sends);
+        onSyncReply(message, sends);
         break;
     case GossipKind::Records:
-        takeRecords(message, sends);
+        onRecords(message, sends);
         break;
     }
-    if (m_refuted) {
-        refuteAtOnce(sends);
+    if (m_refutationPending) {
+        sendRefutation(sends);
     }
     return sends;
 }
 
-void Membership::State::takeNews(const GossipMessage &message, TimePoint now)
+void Membership::State::applyUpdates(const GossipMessage &message, TimePoint now)
 {
     for (const HostRecord &record : message.records) {
-        takeRecord(record, message, now);
+        applyRecord(record, message, now);
     }
     for (const HealthNote &note : message.healthNotes) {
         if (const auto record = m_table.recordOf(note)) {
-            takeRecord(*record, message, now);
+            applyRecord(*record, message, now);
         }
     }
     for (const VersionNote &note : message.versionNotes) {
-        m_table.applyVersion(note.hostKey, note.version, rumorCount());
+        m_table.applyVersion(note.hostKey, note.version, retransmitCount());
     }
 }
 
-// Symptom: when a partition heals, homes move all over the fleet.
-// Sequence: each side held the other dead; on the first contact across, each
-// learns that its own neighbours "are dead", and believes it until they refute.
-// So the death of a host that is held live is no news but a reason to look: it
-// is believed about suspects, from the host itself, and at a new incarnation.
-bool Membership::State::isHearsay(const HostRecord &record, const std::string &teller) const
+// Whether a record reports the death of a host that this host considers live. Such a report is not
+// applied but verified by a probe: each side of a partition declares the other dead, and on the
+// first contact after it heals, each would receive its own neighbours as dead and move homes all
+// over the fleet until they refute. A death is applied at once for suspects, from the host itself,
+// and at a new incarnation.
+bool Membership::State::isUnverifiedDeath(const HostRecord &record, const std::string &sender) const
 {
     const Member *known = m_table.find(record.name);
-    return m_options.checksHearsay && record.health == HostHealth::Dead && teller != record.name && known != nullptr
+    return m_options.checksHearsay && record.health == HostHealth::Dead && sender != record.name && known != nullptr
         && known->record.health == HostHealth::Live && known->record.incarnation == record.incarnation;
 }
 
-// What a reconciliation brings is old to most of a large fleet; passing it on as
-// news would repeat the whole view to everybody when a host joins.
-int Membership::State::rumorsFor(const GossipMessage &message) const
+// Most of a large fleet already has what a reconciliation brings; forwarding it as updates would
+// send the whole view to all hosts whenever one joins.
+int Membership::State::retransmitsFor(const GossipMessage &message) const
 {
     const bool reconciles =
         message.kind == GossipKind::Sync || message.kind == GossipKind::SyncReply || message.kind == GossipKind::Records;
-    return reconciles && m_table.livingCount() > smallFleet ? 0 : rumorCount();
+    return reconciles && m_table.livingCount() > smallFleetHosts ? 0 : retransmitCount();
 }
 
-void Membership::State::takeRecord(const HostRecord &record, const GossipMessage &message, TimePoint now)
+void Membership::State::applyRecord(const HostRecord &record, const GossipMessage &message, TimePoint now)
 {
     if (record.name == m_self.name) {
-        takeOwnRecord(record, now);
+        applyOwnRecord(record, now);
         return;
     }
-    if (isHearsay(record, message.from)) {
-        m_hearsay[record.name] = record.incarnation;
+    if (isUnverifiedDeath(record, message.from)) {
+        m_reportedDead[record.name] = record.incarnation;
         return;
     }
-    if (!m_table.apply(record, now, rumorsFor(message))) {
+    if (!m_table.apply(record, now, retransmitsFor(message))) {
         return;
     }
     Member *member = m_table.find(record.name);
@@ -158,12 +160,12 @@
     }
 }
 
-void Membership::State::checkHearsay(TimePoint now, Sends &sends)
+void Membership::State::verifyDeathReports(TimePoint now, Sends &sends)
 {
     std::size_t checks = 0;
-    while (!m_hearsay.empty() && checks < checksPerTick) {
-        const auto [name, incarnation] = *m_hearsay.begin();
-        m_hearsay.erase(m_hearsay.begin());
+    while (!m_reportedDead.empty() && checks < deathChecksPerTick) {
+        const auto [name, incarnation] = *m_reportedDead.begin();
+        m_reportedDead.erase(m_reportedDead.begin());
         const Member *member = m_table.find(name);
         const bool open =
             member != nullptr && member->record.health == HostHealth::Live && member->record.incarnation == incarnation;
@@ -174,77 +176,76 @@
     }
 }
 
-// Somebody believes that this host is suspect or dead, or remembers an earlier
-// process of its name: a higher incarnation contradicts both.
-void Membership::State::takeOwnRecord(const HostRecord &record, TimePoint now)
+// Another host considers this host suspect or dead, or retains an earlier process of its name: a
+// higher incarnation refutes both.
+void Membership::State::applyOwnRecord(const HostRecord &record, TimePoint now)
 {
-    const bool slandered = record.incarnation == m_self.incarnation && record.health != HostHealth::Live;
-    const bool outrun = record.incarnation > m_self.incarnation;
-    if (!m_options.refutes || (!slandered && !outrun)) {
+    const bool reportedFailed = record.incarnation == m_self.incarnation && record.health != HostHealth::Live;
+    const bool supersededIncarnation = record.incarnation > m_self.incarnation;
+    if (!m_options.refutes || (!reportedFailed && !supersededIncarnation)) {
         return;
     }
     m_self.incarnation = record.incarnation + 1;
-    m_table.set(m_self, now, rumorCount());
-    m_refuted = now - m_refutedAt >= period() || m_refutedAt == TimePoint{};
-    if (m_refuted) {
+    m_table.set(m_self, now, retransmitCount());
+    m_refutationPending = now - m_refutedAt >= period() || m_refutedAt == TimePoint{};
+    if (m_refutationPending) {
         m_refutedAt = now;
     }
 }
 
-// A refutation races against the suspicion's end, so it does not wait for the
-// next heartbeat.
-void Membership::State::refuteAtOnce(Sends &sends)
+// A refutation competes with the end of the suspicion, so it does not wait for the next heartbeat.
+void Membership::State::sendRefutation(Sends &sends)
 {
-    m_refuted = false;
+    m_refutationPending = false;
     computeWatched();
-    std::set<std::string> told(m_watched.begin(), m_watched.end());
+    std::set<std::string> recipients(m_watched.begin(), m_watched.end());
     const std::vector<std::string> others = chooseHelpers(m_self.name);
-    told.insert(others.begin(), others.end());
-    for (const std::string &peer : told) {
+    recipients.insert(others.begin(), others.end());
+    for (const std::string &peer : recipients) {
         ping(peer, m_table.find(peer)->record.peerAddress, sends);
     }
 }
 
-// A message is proof of life of its sender, at that incarnation.
-void Membership::State::hearFrom(const GossipMessage &message, TimePoint now)
+// A message proves that its sender is live at that incarnation.
+void Membership::State::noteContact(const GossipMessage &message, TimePoint now)
 {
     Member *member = m_table.find(message.from);
     if (member == nullptr || message.fromIncarnation < member->record.incarnation) {
         return;
     }
-    const bool firstTime = member->heardAt == TimePoint{};
-    member->heardAt = now;
+    const bool firstTime = member->lastContactAt == TimePoint{};
+    member->lastContactAt = now;
     m_probes.erase(message.from);
-    m_table.applyVersion(member->key, message.catalogVersion, rumorCount());
+    m_table.applyVersion(member->key, message.catalogVersion, retransmitCount());
     if (firstTime) {
-        buryPredecessors(*member, now);
+        markPredecessorsDead(*member, now);
     }
 }
 
-// A host heard for the first time stands at its address: whoever was said to be
-// there before is gone. Without this, a replaced host would stay suspect for as
-// long as its successor answers in its place.
-void Membership::State::buryPredecessors(const Member &successor, TimePoint now)
+// The first message from a host proves that it owns its address, so any other host recorded at that
+// address is gone. Otherwise a replaced host would stay suspect as long as its successor answers in
+// its place.
+void Membership::State::markPredecessorsDead(const Member &successor, TimePoint now)
 {
     const std::string address = successor.record.peerAddress;
     const std::string name = successor.record.name;
     for (auto &[other, member] : m_table.members()) {
         const bool sameAddress = member.record.peerAddress == address && !address.empty();
         if (sameAddress && other != name && other != m_self.name && member.record.health != HostHealth::Dead) {
-            m_table.setHealth(member, HostHealth::Dead, now, rumorCount());
+            m_table.setHealth(member, HostHealth::Dead, now, retransmitCount());
             m_probes.erase(other);
         }
     }
 }
 
-void Membership::State::answerPing(const GossipMessage &ping, Sends &sends)
+void Membership::State::onPing(const GossipMessage &ping, Sends &sends)
 {
     GossipMessage ack = message(GossipKind::Ack, ping.sequence);
     // Lets the other side see where the views differ, if they still do.
     if (ping.digest != ack.digest) {
         ack.bucketDigests = m_table.bucketDigests();
     }
-    // Whoever introduces itself has just started and may know nobody.
+    // A host that sends its own record has just started and may know no other host.
     const bool introduces = std::any_of(ping.records.begin(), ping.records.end(),
                                         [&ping](const HostRecord &record) { return record.name == ping.from; });
     if (introduces) {
@@ -253,28 +254,28 @@
     send(ping.from, ping.fromAddress, std::move(ack), sends);
 }
 
-void Membership::State::takeAck(const GossipMessage &ack, TimePoint now, Sends &sends)
+void Membership::State::onAck(const GossipMessage &ack, TimePoint now, Sends &sends)
 {
-    passOnAck(ack, sends);
-    const bool current = ack.sequence >= m_trustsFromSequence;
+    relayAck(ack, sends);
+    const bool current = ack.sequence >= m_firstTrustedSequence;
     if (ack.digest == m_table.digest()) {
         if (current) {
-            trustAgain();
+            restoreTrust();
         }
         return;
     }
     reconcile(ack, now, sends);
 }
 
-// Begins an exchange of the records that differ, unless news on its way is
-// likely to settle the difference by itself.
+// Starts an exchange of the records that differ, unless spreading updates are likely to resolve the
+// difference.
 void Membership::State::reconcile(const GossipMessage &ack, TimePoint now, Sends &sends)
 {
     if (ack.bucketDigests.empty()) {
         return;
     }
-    const bool recent = m_table.hasNews() || now - m_lastChangeAt < suspicionTime();
-    const bool inFlux = recent && m_table.differingBuckets(ack.bucketDigests) <= bucketsInFlux;
+    const bool recent = m_table.hasPendingUpdates() || now - m_lastChangeAt < suspicionTime();
+    const bool inFlux = recent && m_table.differingBuckets(ack.bucketDigests) <= maxBucketsInFlux;
     const auto spacing = period() * (inFlux ? ticksPerSyncInFlux : static_cast<int>(sizeBits()));
     if (m_trusted && now - m_lastSyncAt < spacing) {
         return;
@@ -286,7 +287,7 @@
     sends.push_back(GossipSend{ack.from, ack.fromAddress, std::move(sync)});
 }
 
-// Living hosts of which the message tells and this host knows nothing.
+// Keys of live hosts that the message mentions and this host does not know.
 std::vector<std::uint64_t> Membership::State::unknownKeys(const GossipMessage &message) const
 {
     std::vector<std::uint64_t> keys;
@@ -299,7 +300,7 @@
     return keys;
 }
 
-// Puts the records that were asked for into the answer.
+// Adds the requested records to the reply.
 void Membership::State::addWanted(const GossipMessage &request, GossipMessage &reply)
 {
     for (const std::uint64_t key : request.wanted) {
@@ -310,7 +311,7 @@
     }
 }
 
-void Membership::State::answerSync(const GossipMessage &sync, Sends &sends)
+void Membership::State::onSync(const GossipMessage &sync, Sends &sends)
 {
     GossipMessage reply = message(GossipKind::SyncReply, sync.sequence);
     reply.healthNotes = m_table.notesDifferingFrom(sync.bucketDigests, m_random() % digestBuckets, m_options.notesPerSync);
@@ -318,21 +319,21 @@
     sends.push_back(GossipSend{sync.from, sync.fromAddress, std::move(reply)});
 }
 
-void Membership::State::takeSyncReply(const GossipMessage &reply, Sends &sends)
+void Membership::State::onSyncReply(const GossipMessage &reply, Sends &sends)
 {
     GossipMessage records = message(GossipKind::Records, reply.sequence);
     addWanted(reply, records);
     records.wanted = unknownKeys(reply);
     const bool complete = records.wanted.empty() && reply.healthNotes.size() < m_options.notesPerSync;
-    if (complete && reply.sequence >= m_trustsFromSequence) {
-        trustAgain();
+    if (complete && reply.sequence >= m_firstTrustedSequence) {
+        restoreTrust();
     }
     if (!records.wanted.empty() || !records.records.empty()) {
         sends.push_back(GossipSend{reply.from, reply.fromAddress, std::move(records)});
     }
 }
 
-void Membership::State::takeRecords(const GossipMessage &answer, Sends &sends)
+void Membership::State::onRecords(const GossipMessage &answer, Sends &sends)
 {
     if (!answer.wanted.empty()) {
         GossipMessage records = message(GossipKind::Records, answer.sequence);
@@ -340,14 +341,14 @@
         sends.push_back(GossipSend{answer.from, answer.fromAddress, std::move(records)});
         return;
     }
-    // As many as one answer holds may be only a part; the next one brings more.
+    // A full answer may be only a part; the next reconciliation brings more.
     const bool complete = answer.records.size() < m_options.recordsPerSync;
-    if (complete && answer.sequence >= m_trustsFromSequence) {
-        trustAgain();
+    if (complete && answer.sequence >= m_firstTrustedSequence) {
+        restoreTrust();
     }
 }
 
-void Membership::State::relayPing(const GossipMessage &request, TimePoint now, Sends &sends)
+void Membership::State::onPingRequest(const GossipMessage &request, TimePoint now, Sends &sends)
 {
     std::erase_if(m_relays, [now](const auto &entry) { return entry.second.expires <= now; });
     if (m_relays.size() >= maxRelays || request.target == m_self.name) {
@@ -357,7 +358,7 @@
     m_relays[m_sequence] = Relay{request.from, request.fromAddress, request.sequence, request.target, now + relayLifetime};
 }
 
-void Membership::State::passOnAck(const GossipMessage &ack, Sends &sends)
+void Membership::State::relayAck(const GossipMessage &ack, Sends &sends)
 {
     const auto relay = m_relays.find(ack.sequence);
     if (relay == m_relays.end() || relay->second.target != ack.from) {
@@ -371,7 +372,7 @@
     send(requester, address, std::move(indirect), sends);
 }
 
-void Membership::State::trustAgain()
+void Membership::State::restoreTrust()
 {
     if (!m_trusted) {
         m_trusted = true;
--- a/src/core/fleet/membershipprobing.cpp
+++ b/src/core/fleet/membershipprobing.cpp
@@ -1,4 +1,4 @@
-// Time: whom to ping when, what silence means, and pauses of this process.
+// Membership: schedule of pings, detection of failures, and detection of pauses of this process.
 
 #include "core/fleet/membershipstate.h"
 
@@ -13,13 +13,13 @@
 namespace
 {
 
-// Every so many ticks a host looks for hosts that it does not know or holds dead.
-constexpr int ticksPerLook = 5;
-// Such looks per missing host, over the whole fleet, each time.
-constexpr double looksPerMissing = 2;
-// Ticks without an answer after which a host takes itself for cut off and its
-// own view, which by then holds the others dead, for all there is to know.
-constexpr int ticksUntilAlone = 15;
+// Ticks between two pings of hosts that are unknown or considered dead.
+constexpr int ticksPerMissingPing = 5;
+// Such pings per missing host each time, over the whole fleet.
+constexpr double pingsPerMissing = 2;
+// Ticks without an answer after which a host considers itself cut off and trusts its own view, in
+// which the others are dead by then.
+constexpr int ticksUntilIsolated = 15;
 
 std::uint64_t ringPosition(std::uint64_t key, int ring)
 {
@@ -34,22 +34,22 @@
     if (m_departed) {
         return sends;
     }
-    noticePause(now);
+    detectPause(now);
     m_lastTickAt = now;
     if (expireSuspects(now)) {
-        tellWatched(sends);
+        pingWatched(sends);
     }
     expireProbes(now, sends);
     if (now < m_nextPeriodAt) {
         return sends;
     }
-    // Jittered by a tenth, so that hosts started together drift apart.
+    // Jitter of a tenth, so that hosts started together do not stay in step.
     const auto tenth = std::max<std::int64_t>(1, period().count() / 10);
     std::uniform_int_distribution<std::int64_t> jitter(-tenth, tenth);
     m_nextPeriodAt = now + period() + milliseconds{jitter(m_random)};
     ++m_ticks;
-    if (!m_trusted && ++m_ticksUnanswered > ticksUntilAlone) {
-        trustAgain();
+    if (!m_trusted && ++m_ticksUnanswered > ticksUntilIsolated) {
+        restoreTrust();
     }
     if (m_table.changes() != m_changesSeen) {
         m_changesSeen = m_table.changes();
@@ -57,8 +57,8 @@
     }
     forgetDead(now);
     watchNext(now, sends);
-    checkHearsay(now, sends);
-    lookForMissing(sends);
+    verifyDeathReports(now, sends);
+    pingMissing(sends);
     return sends;
 }
 
@@ -71,19 +71,18 @@
     return next;
 }
 
-// Symptom: a host that was frozen for a minute declares everybody dead, or acts
-// on homes that moved long ago.
-// Sequence: its clock jumps; all its pings and suspicions are overdue at once.
-// So nothing that was under way counts, and the view is not trusted until a
-// peer has answered a ping sent after the pause.
-void Membership::State::noticePause(TimePoint now)
+// Detects a pause of this process by a gap between ticks. After a pause all pings and suspicions
+// are overdue at once, and the host would declare all others dead or act on homes that moved long
+// ago. Outstanding probes are therefore discarded, and the view is not trusted until a peer has
+// answered a ping sent after the pause.
+void Membership::State::detectPause(TimePoint now)
 {
     if (now - m_lastTickAt <= m_options.pauseThreshold) {
         return;
     }
     m_probes.clear();
     m_relays.clear();
-    m_trustsFromSequence = m_sequence + 1;
+    m_firstTrustedSequence = m_sequence + 1;
     m_ticksUnanswered = 0;
     m_trusted = false;
     ++m_trustChanges;
@@ -94,7 +93,7 @@
     }
 }
 
-// Says whether a host was found dead.
+// Returns whether a host was declared dead.
 bool Membership::State::expireSuspects(TimePoint now)
 {
     bool found = false;
@@ -105,19 +104,20 @@
         if (member.record.health != HostHealth::Suspect || now < member.suspicionEnds) {
             continue;
         }
-        // It spoke to us since: its refutation is on the way, or the suspicion is
-        // somebody else's trouble with a link of theirs.
-        const bool spoke = member.heardAt > member.healthSince;
-        m_table.setHealth(member, spoke ? HostHealth::Live : HostHealth::Dead, now, spoke ? 0 : rumorCount());
-        found = found || !spoke;
+        // The suspect has sent a message since: its refutation is on the way, or the suspicion
+        // comes from a faulty link of another host.
+        const bool contacted = member.lastContactAt > member.healthSince;
+        m_table.setHealth(member, contacted ? HostHealth::Live : HostHealth::Dead, now, contacted ? 0 : retransmitCount());
+        found = found || !contacted;
     }
     return found;
 }
 
-// What cannot wait for the next heartbeat: homes of a dead host move only where it is
-// known to be dead. Of 300 silent hosts among nine the slowest was known dead to all
-// after 1.97 s (1.20 s on average), with heartbeats alone after 2.06 s (1.25 s) (in simulated time).
-void Membership::State::tellWatched(Sends &sends)
+// Pings the watched peers with a change that cannot wait for the next heartbeat: homes of a dead
+// host move only on hosts that consider it dead. Over 300 silent hosts in fleets of nine, the
+// slowest was considered dead by all after 1.97 s (1.20 s on average), with heartbeats alone after
+// 2.06 s (1.25 s) (in simulated time).
+void Membership::State::pingWatched(Sends &sends)
 {
     computeWatched();
     for (const std::string &peer : m_watched) {
@@ -142,10 +142,10 @@
 
 void Membership::State::forgetDead(TimePoint now)
 {
-    if (now < m_mayForgetAt) {
+    if (now < m_nextForgetAt) {
         return;
     }
-    m_mayForgetAt = now + m_options.remembersDead / 60;
+    m_nextForgetAt = now + m_options.remembersDead / 60;
     std::vector<std::string> forgotten;
     for (const auto &[name, member] : m_table.members()) {
         const bool old = now - member.healthSince > m_options.remembersDead;
@@ -168,13 +168,13 @@
     probe(m_watched[m_nextWatched], now, sends);
 }
 
-// Looks at places where a host may be that is not among the living ones: seeds
-// never met, and dead hosts, which come back this way when a partition heals.
-// Spread over the fleet, so that a dead host is not dialled by everybody.
-void Membership::State::lookForMissing(Sends &sends)
+// Pings addresses of hosts that are not live in this view: seeds never contacted, and dead hosts,
+// which are found again this way when a partition heals. The pings are spread over the fleet, so
+// that a dead host is not contacted by all others.
+void Membership::State::pingMissing(Sends &sends)
 {
     const bool alone = m_table.livingCount() <= 1;
-    if (!alone && m_ticks % ticksPerLook != 0) {
+    if (!alone && m_ticks % ticksPerMissingPing != 0) {
         return;
     }
     std::vector<std::pair<std::string, std::string>> missing;
@@ -192,16 +192,16 @@
     if (missing.empty()) {
         return;
     }
-    const double share = looksPerMissing * static_cast<double>(missing.size()) / static_cast<double>(m_table.livingCount());
+    const double share = pingsPerMissing * static_cast<double>(missing.size()) / static_cast<double>(m_table.livingCount());
     if (alone || std::bernoulli_distribution(std::min(1.0, share))(m_random)) {
         const auto &[name, address] = missing[std::uniform_int_distribution<std::size_t>(0, missing.size() - 1)(m_random)];
         ping(name, address, sends);
     }
 }
 
-// Each ring orders all hosts by another hash. A host watches its successor in
-// each, so every host is watched by as many as it watches, and the links that
-// this needs form a graph on which news reaches all in logarithmic time.
+// Each ring orders all hosts by a different hash. A host watches its successor in each ring, so
+// every host is watched by as many hosts as it watches, and the links form a graph on which updates
+// reach all hosts in logarithmic time.
 void Membership::State::computeWatched()
 {
     if (m_watchedAtChange == m_table.changes()) {
@@ -210,15 +210,15 @@
     m_watchedAtChange = m_table.changes();
     m_watched.clear();
     const std::uint64_t selfKey = m_table.find(m_self.name)->key;
-    for (int ring = 0; ring < m_options.watched; ++ring) {
+    for (int ring = 0; ring < m_options.watchedPeers; ++ring) {
         watchRing(ring, selfKey);
     }
     std::shuffle(m_watched.begin(), m_watched.end(), m_random);
 }
 
-// Adds the successor in one ring. Suspects are passed by but watched as well:
-// when a zone is cut off, its hosts stand in long rows, and finding one after
-// the other dead would take as many suspicions in turn.
+// Adds the successor in one ring. Suspects are skipped but watched as well: when a zone is cut off,
+// its hosts form long runs in a ring, and declaring them dead one after the other would take one
+// suspicion time each.
 void Membership::State::watchRing(int ring, std::uint64_t selfKey)
 {
     const std::uint64_t origin = ringPosition(selfKey, ring);
@@ -263,8 +263,8 @@
     }
 }
 
-// One lost message or one bad link must not make a host suspect: others are
-// asked, and it is asked once more.
+// A lost message or a faulty link must not make a host suspect: helpers are asked to ping it, and
+// it is pinged once more directly.
 void Membership::State::probeIndirectly(const std::string &peer, Probe &probe, TimePoint now, Sends &sends)
 {
     const Member *member = m_table.find(peer);
@@ -296,14 +296,14 @@
     return helpers;
 }
 
-// Tells the suspect at once: the sooner it hears, the sooner it refutes.
+// Notifies the suspect at once, so that it can refute early.
 void Membership::State::suspect(const std::string &peer, TimePoint now, Sends &sends)
 {
     Member *member = m_table.find(peer);
     if (member == nullptr || member->record.health != HostHealth::Live) {
         return;
     }
-    m_table.setHealth(*member, HostHealth::Suspect, now, rumorCount());
+    m_table.setHealth(*member, HostHealth::Suspect, now, retransmitCount());
     member->suspicionEnds = now + suspicionTime();
     ping(peer, member->record.peerAddress, sends);
 }
--- a/src/core/fleet/membershipstate.h
+++ b/src/core/fleet/membershipstate.h
@@ -1,5 +1,5 @@
-// The inside of Membership, shared by the files that implement it: membership.cpp
-// (events and view), membershipprobing.cpp (time) and membershipnews.cpp (messages).
+// Implementation of Membership, shared by membership.cpp (events and view), membershipprobing.cpp
+// (schedule and failure detection) and membershipnews.cpp (messages).
 
 #pragma once
 
@@ -19,7 +19,7 @@
 namespace egrettide
 {
 
-// Everything behind Membership.
+// State and logic of Membership.
 class Membership::State
 {
 public:
@@ -52,13 +52,13 @@
 private:
     enum class Stage { Direct, Indirect };
 
-    // A ping that is not answered yet.
+    // An unanswered ping.
     struct Probe {
         Stage stage = Stage::Direct;
         TimePoint deadline;
     };
 
-    // A ping made for somebody else.
+    // A ping sent on behalf of another host.
     struct Relay {
         std::string requester;
         std::string requesterAddress;
@@ -71,17 +71,17 @@
 
     milliseconds period() const;
     milliseconds suspicionTime() const;
-    int rumorCount() const;
+    int retransmitCount() const;
     double sizeBits() const;
 
-    // Time.
-    void noticePause(TimePoint now);
+    // Schedule.
+    void detectPause(TimePoint now);
     bool expireSuspects(TimePoint now);
-    void tellWatched(Sends &sends);
+    void pingWatched(Sends &sends);
     void expireProbes(TimePoint now, Sends &sends);
     void forgetDead(TimePoint now);
     void watchNext(TimePoint now, Sends &sends);
-    void lookForMissing(Sends &sends);
+    void pingMissing(Sends &sends);
 
     // Probing.
     void computeWatched();
@@ -94,28 +94,28 @@
 
     // Messages.
     GossipMessage message(GossipKind kind, std::uint64_t sequence);
-    void addNews(GossipMessage &message, const std::string &receiver);
+    void addUpdates(GossipMessage &message, const std::string &receiver);
     void send(const std::string &peer, const std::string &address, GossipMessage message, Sends &sends);
-    void takeNews(const GossipMessage &message, TimePoint now);
-    int rumorsFor(const GossipMessage &message) const;
-    bool isHearsay(const HostRecord &record, const std::string &teller) const;
-    void takeRecord(const HostRecord &record, const GossipMessage &message, TimePoint now);
-    void takeOwnRecord(const HostRecord &record, TimePoint now);
-    void hearFrom(const GossipMessage &message, TimePoint now);
-    void buryPredecessors(const Member &successor, TimePoint now);
-    void answerPing(const GossipMessage &message, Sends &sends);
-    void takeAck(const GossipMessage &message, TimePoint now, Sends &sends);
-    void relayPing(const GossipMessage &message, TimePoint now, Sends &sends);
-    void passOnAck(const GossipMessage &message, Sends &sends);
+    void applyUpdates(const GossipMessage &message, TimePoint now);
+    int retransmitsFor(const GossipMessage &message) const;
+    bool isUnverifiedDeath(const HostRecord &record, const std::string &sender) const;
+    void applyRecord(const HostRecord &record, const GossipMessage &message, TimePoint now);
+    void applyOwnRecord(const HostRecord &record, TimePoint now);
+    void noteContact(const GossipMessage &message, TimePoint now);
+    void markPredecessorsDead(const Member &successor, TimePoint now);
+    void onPing(const GossipMessage &message, Sends &sends);
+    void onAck(const GossipMessage &message, TimePoint now, Sends &sends);
+    void onPingRequest(const GossipMessage &message, TimePoint now, Sends &sends);
+    void relayAck(const GossipMessage &message, Sends &sends);
     void reconcile(const GossipMessage &message, TimePoint now, Sends &sends);
-    void answerSync(const GossipMessage &message, Sends &sends);
-    void takeSyncReply(const GossipMessage &message, Sends &sends);
-    void takeRecords(const GossipMessage &message, Sends &sends);
+    void onSync(const GossipMessage &message, Sends &sends);
+    void onSyncReply(const GossipMessage &message, Sends &sends);
+    void onRecords(const GossipMessage &message, Sends &sends);
     std::vector<std::uint64_t> unknownKeys(const GossipMessage &message) const;
     void addWanted(const GossipMessage &request, GossipMessage &reply);
-    void checkHearsay(TimePoint now, Sends &sends);
-    void refuteAtOnce(Sends &sends);
-    void trustAgain();
+    void verifyDeathReports(TimePoint now, Sends &sends);
+    void sendRefutation(Sends &sends);
+    void restoreTrust();
     void announceSelf(TimePoint now, Sends &sends);
     void introduceSelf(Sends &sends);
 
@@ -124,42 +124,43 @@
     std::mt19937_64 m_random;
     MemberTable m_table;
     std::map<std::string, HostSeed> m_seeds;
-    // Set by the first list; its hosts have been pinged.
-    bool m_listed = false;
-    // Whom this host watches, in turn. Invariant: as many as the options say, or
-    // all others if there are fewer, plus suspects that stand before them.
+    // Set by the first list, whose hosts are pinged at once.
+    bool m_hasHostList = false;
+    // Peers watched by this host, in the order of their pings. Invariant: as many as the options
+    // say, or all others if there are fewer, plus suspects that precede them in a ring.
     std::vector<std::string> m_watched;
     std::size_t m_nextWatched = 0;
     std::uint64_t m_watchedAtChange = std::numeric_limits<std::uint64_t>::max();
     std::map<std::string, Probe> m_probes;
     std::map<std::uint64_t, Relay> m_relays;
-    // Hosts held live that somebody holds dead, and at which incarnation.
-    std::map<std::string, std::uint64_t> m_hearsay;
-    // Set when this host has contradicted somebody and not told anybody yet.
-    bool m_refuted = false;
+    // Live hosts that another host reported dead, and the reported incarnation.
+    std::map<std::string, std::uint64_t> m_reportedDead;
+    // Set when this host has raised its incarnation to refute and the refutation is not sent yet.
+    bool m_refutationPending = false;
     TimePoint m_refutedAt;
     std::uint64_t m_sequence = 0;
     int m_ticks = 0;
     TimePoint m_lastTickAt;
     TimePoint m_nextPeriodAt;
-    TimePoint m_mayForgetAt;
-    // Reconciliations begun by this host are spaced out.
+    TimePoint m_nextForgetAt;
+    // Limits how often this host starts a reconciliation.
     TimePoint m_lastSyncAt;
     TimePoint m_lastChangeAt;
     std::uint64_t m_changesSeen = 0;
     bool m_trusted = false;
-    // Answers to earlier pings may have waited in a socket through a pause.
-    std::uint64_t m_trustsFromSequence = 1;
+    // Pings with a lower sequence do not restore trust: their answers may have been buffered in a
+    // socket during a pause.
+    std::uint64_t m_firstTrustedSequence = 1;
     int m_ticksUnanswered = 0;
     bool m_departed = false;
-    // Made anew when the table or the trust has changed since.
+    // Cache of the view; rebuilt after a change of the table or of the trust.
     mutable std::shared_ptr<const MembershipView> m_view;
     mutable std::uint64_t m_viewAtChange = 0;
     mutable bool m_viewTrusted = false;
-    // Made anew when the table has changed since.
+    // Cache of the reach; rebuilt after a change of the table.
     mutable HostReach m_reach;
     mutable std::uint64_t m_reachAtChange = std::numeric_limits<std::uint64_t>::max();
-    // Counts changes of trust into the view's version.
+    // Changes of trust, counted into the view's version.
     std::uint64_t m_trustChanges = 0;
 };
 
--- a/src/core/fleet/membertable.cpp
+++ b/src/core/fleet/membertable.cpp
@@ -1,4 +1,4 @@
-// Precedence of records, rumors and digests.
+// Precedence of records, queued updates and digests.
 
 #include "core/fleet/membertable.h"
 
@@ -40,7 +40,7 @@
     return member.record.health == HostHealth::Suspect;
 }
 
-// What a HealthNote leaves out.
+// Compares the fields that a HealthNote leaves out.
 bool sameDescription(const HostRecord &one, const HostRecord &other)
 {
     return std::tie(one.zone, one.peerAddress, one.callerAddress, one.operatorAddress)
@@ -52,8 +52,8 @@
     return HealthNote{member.key, member.record.incarnation, member.record.health, member.record.leaving};
 }
 
-// Takes the next names from a queue of rumors; those with rumors left go back.
-template <typename Take> void takeTurns(std::deque<std::string> &queue, std::size_t limit, const Take &take)
+// Takes the next names from a queue of updates; those with transmissions left are queued again.
+template <typename Take> void takeFromQueue(std::deque<std::string> &queue, std::size_t limit, const Take &take)
 {
     const std::size_t turns = std::min(limit, queue.size());
     for (std::size_t i = 0; i < turns; ++i) {
@@ -71,15 +71,15 @@
 {
 }
 
-bool MemberTable::apply(const HostRecord &record, TimePoint now, int rumors)
+bool MemberTable::apply(const HostRecord &record, TimePoint now, int retransmits)
 {
     const auto found = m_members.find(record.name);
     if (found == m_members.end()) {
-        // A dead stranger is no news: storing it would pass tombstones around for ever.
+        // An unknown host that is dead is ignored: storing it would circulate its record for ever.
         if (record.health == HostHealth::Dead) {
             return false;
         }
-        set(record, now, rumors);
+        set(record, now, retransmits);
         return true;
     }
     Member &member = found->second;
@@ -88,7 +88,7 @@
     const bool worse = record.incarnation == known.incarnation && record.health > known.health;
     const bool differs = record.incarnation != known.incarnation || record.health != known.health;
     if (newer || worse || (!m_remembersIncarnations && differs)) {
-        replace(member, record, now, rumors);
+        replace(member, record, now, retransmits);
         return true;
     }
     if (record.incarnation == known.incarnation) {
@@ -110,7 +110,7 @@
     return record;
 }
 
-bool MemberTable::applyVersion(std::uint64_t key, const CatalogVersion &version, int rumors)
+bool MemberTable::applyVersion(std::uint64_t key, const CatalogVersion &version, int retransmits)
 {
     const auto name = m_names.find(key);
     if (name == m_names.end()) {
@@ -122,16 +122,16 @@
     }
     member.record.catalogVersion = version;
     ++m_allChanges;
-    if (rumors > 0) {
-        if (member.versionRumors == 0) {
+    if (retransmits > 0) {
+        if (member.versionRetransmits == 0) {
             m_versionQueue.push_back(member.record.name);
         }
-        member.versionRumors = rumors;
+        member.versionRetransmits = retransmits;
     }
     return true;
 }
 
-void MemberTable::set(const HostRecord &record, TimePoint now, int rumors)
+void MemberTable::set(const HostRecord &record, TimePoint now, int retransmits)
 {
     const auto [entry, added] = m_members.try_emplace(record.name);
     Member &member = entry->second;
@@ -140,19 +140,19 @@
         m_names.emplace(member.key, record.name);
         member.record = record;
         member.healthSince = now;
-        count(member);
+        toggleDigest(member);
         m_living += isLiving(member) ? 1 : 0;
         m_suspects += isSuspect(member) ? 1 : 0;
         ++m_changes;
         ++m_placementChanges;
         ++m_allChanges;
-        rumorRecord(member, rumors);
+        queueRecord(member, retransmits);
         return;
     }
-    replace(member, record, now, rumors);
+    replace(member, record, now, retransmits);
 }
 
-void MemberTable::replace(Member &member, const HostRecord &record, TimePoint now, int rumors)
+void MemberTable::replace(Member &member, const HostRecord &record, TimePoint now, int retransmits)
 {
     const bool wasLiving = isLiving(member);
     const bool wasLeaving = member.record.leaving;
@@ -161,18 +161,18 @@
     const bool sameProcess = record.incarnation == member.record.incarnation;
     m_suspects -= isSuspect(member) ? 1 : 0;
     if (wasLiving) {
-        count(member);
+        toggleDigest(member);
     }
     if (record.health != member.record.health || !sameProcess) {
         member.healthSince = now;
     }
     if (!sameProcess) {
-        member.heardAt = TimePoint{};
+        member.lastContactAt = TimePoint{};
     }
     member.record = record;
     member.record.catalogVersion = std::max(version, record.catalogVersion);
     if (isLiving(member)) {
-        count(member);
+        toggleDigest(member);
     }
     m_suspects += isSuspect(member) ? 1 : 0;
     m_living += isLiving(member) ? 1 : 0;
@@ -183,17 +183,17 @@
     ++m_changes;
     ++m_allChanges;
     if (described) {
-        rumorNote(member, rumors);
+        queueNote(member, retransmits);
     } else {
-        rumorRecord(member, rumors);
+        queueRecord(member, retransmits);
     }
 }
 
-void MemberTable::setHealth(Member &member, HostHealth health, TimePoint now, int rumors)
+void MemberTable::setHealth(Member &member, HostHealth health, TimePoint now, int retransmits)
 {
     HostRecord record = member.record;
     record.health = health;
-    replace(member, record, now, rumors);
+    replace(member, record, now, retransmits);
 }
 
 void MemberTable::erase(const std::string &name)
@@ -203,7 +203,7 @@
         return;
     }
     if (isLiving(found->second)) {
-        count(found->second);
+        toggleDigest(found->second);
         --m_living;
         ++m_placementChanges;
     }
@@ -217,36 +217,36 @@
     ++m_allChanges;
 }
 
-// Counts a living member into its bucket, or out of it again.
-void MemberTable::count(const Member &member)
+// Adds a member that is not dead to its bucket's digest, or removes it.
+void MemberTable::toggleDigest(const Member &member)
 {
     if (isLiving(member)) {
         m_digests[bucketOf(member.key)] ^= hashOf(member);
     }
 }
 
-// Rumors go ahead of older news: a host that leaves must not wait behind hundreds
-// that came back with a healed partition.
-void MemberTable::rumorRecord(Member &member, int rumors)
+// New updates precede older ones: the update of a leaving host must not wait behind hundreds from a
+// healed partition.
+void MemberTable::queueRecord(Member &member, int retransmits)
 {
-    if (rumors <= 0) {
+    if (retransmits <= 0) {
         return;
     }
-    if (member.recordRumors == 0) {
+    if (member.recordRetransmits == 0) {
         m_recordQueue.push_front(member.record.name);
     }
-    member.recordRumors = rumors;
+    member.recordRetransmits = retransmits;
 }
 
-void MemberTable::rumorNote(Member &member, int rumors)
+void MemberTable::queueNote(Member &member, int retransmits)
 {
-    if (rumors <= 0) {
+    if (retransmits <= 0) {
         return;
     }
-    if (member.noteRumors == 0) {
+    if (member.noteRetransmits == 0) {
         m_noteQueue.push_front(member.record.name);
     }
-    member.noteRumors = rumors;
+    member.noteRetransmits = retransmits;
 }
 
 Member *MemberTable::find(const std::string &name)
@@ -290,10 +290,10 @@
 std::vector<HostRecord> MemberTable::takeRecords(std::size_t limit)
 {
     std::vector<HostRecord> records;
-    takeTurns(m_recordQueue, limit, [&](const std::string &name) {
+    takeFromQueue(m_recordQueue, limit, [&](const std::string &name) {
         Member &member = m_members.at(name);
         records.push_back(member.record);
-        return --member.recordRumors > 0;
+        return --member.recordRetransmits > 0;
     });
     return records;
 }
@@ -301,10 +301,10 @@
 std::vector<HealthNote> MemberTable::takeHealthNotes(std::size_t limit)
 {
     std::vector<HealthNote> notes;
-    takeTurns(m_noteQueue, limit, [&](const std::string &name) {
+    takeFromQueue(m_noteQueue, limit, [&](const std::string &name) {
         Member &member = m_members.at(name);
         notes.push_back(noteOf(member));
-        return --member.noteRumors > 0;
+        return --member.noteRetransmits > 0;
     });
     return notes;
 }
@@ -312,15 +312,15 @@
 std::vector<VersionNote> MemberTable::takeVersionNotes(std::size_t limit)
 {
     std::vector<VersionNote> notes;
-    takeTurns(m_versionQueue, limit, [&](const std::string &name) {
+    takeFromQueue(m_versionQueue, limit, [&](const std::string &name) {
         Member &member = m_members.at(name);
         notes.push_back(VersionNote{member.key, member.record.catalogVersion});
-        return --member.versionRumors > 0;
+        return --member.versionRetransmits > 0;
     });
     return notes;
 }
 
-bool MemberTable::hasNews() const
+bool MemberTable::hasPendingUpdates() const
 {
     return !m_recordQueue.empty() || !m_noteQueue.empty();
 }
--- a/src/core/fleet/membertable.h
+++ b/src/core/fleet/membertable.h
@@ -1,5 +1,5 @@
-// What one host believes about all others: which record wins, what changed, what
-// still has to be passed on, and digests by which two hosts find differences.
+// Table of all hosts as one host knows them: precedence of records, change counters, updates still
+// to be sent, and digests by which two hosts find differences.
 
 #pragma once
 
@@ -18,45 +18,45 @@
 namespace egrettide
 {
 
-// Views are compared in so many parts, so that a difference costs one part and
-// not the whole fleet.
+// Views are compared in this many buckets, so that a difference costs the exchange of one bucket
+// and not of the whole fleet.
 constexpr std::size_t digestBuckets = 32;
 
 struct Member {
     HostRecord record;
-    // Stable number of the name; rings, buckets and version notes use it.
+    // Stable key of the name, used by rings, buckets and notes.
     std::uint64_t key = 0;
-    // When the present suspicion or death was learnt.
+    // When the present health was recorded.
     TimePoint healthSince;
-    // A suspect becomes dead here, unless it refutes.
+    // When a suspect is declared dead unless it refutes.
     TimePoint suspicionEnds;
-    // The last message that came from the host itself; unset when there was none.
-    TimePoint heardAt;
-    // Messages that the record, its changing part or its version still rides on.
-    int recordRumors = 0;
-    int noteRumors = 0;
-    int versionRumors = 0;
+    // Time of the last message from the host itself; unset when there was none.
+    TimePoint lastContactAt;
+    // Remaining transmissions of the record, of its health note and of its version note.
+    int recordRetransmits = 0;
+    int noteRetransmits = 0;
+    int versionRetransmits = 0;
 };
 
-// Keeps members sorted by name. Remembers dead ones, so that an old record of a
-// dead incarnation cannot bring it back.
+// Keeps members sorted by name. Retains dead ones, so that an old record of a dead incarnation
+// cannot revive them.
 class MemberTable
 {
 public:
     explicit MemberTable(bool remembersIncarnations);
 
-    // Takes a record if it wins over what is known; true if it did. News is
-    // queued to ride on `rumors` messages.
-    bool apply(const HostRecord &record, TimePoint now, int rumors);
-    // The record that a note describes; nothing when its host is not known.
+    // Applies a record if it has precedence over the known one; returns whether it did. The update
+    // is queued for `retransmits` messages.
+    bool apply(const HostRecord &record, TimePoint now, int retransmits);
+    // The record that a note describes; nullopt when its host is not known.
     std::optional<HostRecord> recordOf(const HealthNote &note) const;
-    // Takes a version if it is higher; true if it was.
-    bool applyVersion(std::uint64_t key, const CatalogVersion &version, int rumors);
-    // Replaces the own record, which always wins here.
-    void set(const HostRecord &record, TimePoint now, int rumors);
+    // Applies a version if it is higher; returns whether it was.
+    bool applyVersion(std::uint64_t key, const CatalogVersion &version, int retransmits);
+    // Replaces a record unconditionally; used for this host's own record.
+    void set(const HostRecord &record, TimePoint now, int retransmits);
     // Changes the health of a known member at its present incarnation.
-    void setHealth(Member &member, HostHealth health, TimePoint now, int rumors);
-    // Forgets a member altogether.
+    void setHealth(Member &member, HostHealth health, TimePoint now, int retransmits);
+    // Removes a member.
     void erase(const std::string &name);
 
     Member *find(const std::string &name);
@@ -68,44 +68,44 @@
     std::size_t livingCount() const;
     std::size_t suspectCount() const;
 
-    // The next records and notes to ride on a message; each is counted as sent.
+    // The next records and notes to piggyback on a message; each counts as one transmission.
     std::vector<HostRecord> takeRecords(std::size_t limit);
     std::vector<HealthNote> takeHealthNotes(std::size_t limit);
     std::vector<VersionNote> takeVersionNotes(std::size_t limit);
-    bool hasNews() const;
+    bool hasPendingUpdates() const;
 
-    // Equal for equal sets of living members. Suspicions do not count, as they
-    // pass; dead members do not, as hosts forget them at different times.
+    // Equal for equal sets of members that are not dead. Health is left out: suspicions pass, and
+    // hosts remove dead members at different times.
     std::uint64_t digest() const;
     std::vector<std::uint32_t> bucketDigests() const;
     std::size_t differingBuckets(const std::vector<std::uint32_t> &theirs) const;
-    // Notes on all members in the buckets that differ, dead ones included, from a
-    // bucket number on, at most `limit`.
+    // Notes on all members of the buckets that differ, dead ones included, starting at a bucket
+    // number, at most `limit`.
     std::vector<HealthNote> notesDifferingFrom(const std::vector<std::uint32_t> &theirs, std::size_t firstBucket,
                                                std::size_t limit) const;
 
-    // Rises with every change of a record other than its version.
+    // Increases with every change of a record other than its catalog version.
     std::uint64_t changes() const;
-    // Rises with every change of who is living or leaving.
+    // Increases when a member becomes dead or live, or starts to leave.
     std::uint64_t placementChanges() const;
-    // Rises with every change at all.
+    // Increases with every change.
     std::uint64_t allChanges() const;
 
 private:
-    void replace(Member &member, const HostRecord &record, TimePoint now, int rumors);
-    void count(const Member &member);
-    void rumorRecord(Member &member, int rumors);
-    void rumorNote(Member &member, int rumors);
+    void replace(Member &member, const HostRecord &record, TimePoint now, int retransmits);
+    void toggleDigest(const Member &member);
+    void queueRecord(Member &member, int retransmits);
+    void queueNote(Member &member, int retransmits);
 
     const bool m_remembersIncarnations;
     std::map<std::string, Member> m_members;
     absl::flat_hash_map<std::uint64_t, std::string> m_names;
-    // Names with rumors left, in turn. Invariant: a name is in a queue exactly
-    // while its member has rumors of that sort left.
+    // Names with transmissions left, in order. Invariant: a name is in a queue exactly while its
+    // member has transmissions of that kind left.
     std::deque<std::string> m_recordQueue;
     std::deque<std::string> m_noteQueue;
     std::deque<std::string> m_versionQueue;
-    // Exclusive or over the living members of each bucket.
+    // Exclusive or of the hashes of the members that are not dead, per bucket.
     std::array<std::uint64_t, digestBuckets> m_digests{};
     std::size_t m_living = 0;
     std::size_t m_suspects = 0;
--- a/tests/core/gossipfleet.h
+++ b/tests/core/gossipfleet.h
@@ -1,6 +1,6 @@
-// A fleet of memberships in one thread on a simulated clock: messages take a
-// fixed time, may be lost, and do not cross a cut. Only what the tests and the
-// scale measurement of membership need.
+// A fleet of memberships in one thread on a simulated clock: messages take a fixed time, may be
+// lost, and do not cross a cut. Holds only what the tests and the scale measurement of membership
+// need.
 
 #pragma once
 
@@ -31,14 +31,14 @@
     {
     }
 
-    // Sees every message as it leaves.
+    // Called with every message that is sent.
     std::function<void(const std::string &from, const GossipSend &)> onSend;
-    // Sees every message once its receiver has taken it.
+    // Called with every message after its receiver has processed it.
     std::function<void(const std::string &to, const GossipMessage &)> onReceive;
     milliseconds latency{1};
-    // How long the platform takes to show its list to a host that starts.
+    // How long the platform takes to return its list to a starting host.
     milliseconds listDelay{0};
-    // Share of messages that are lost.
+    // Fraction of messages that are lost.
     double loss = 0;
 
     static std::string addressOf(int place)
@@ -46,7 +46,8 @@
         return absl::StrCat("10.0.", place / 250, ".", place % 250 + 1, ":7400");
     }
 
-    // Starts a host at a place; `seeds` is what the platform's list shows it.
+    // Starts a host at the address of `place`; `seeds` is the platform's list as this host receives
+    // it.
     void start(const std::string &name, const std::string &zone, int place, std::uint64_t incarnation,
                const std::vector<HostSeed> &seeds)
     {
@@ -57,7 +58,7 @@
         host.address = self.peerAddress;
         host.membership = std::make_unique<Membership>(self, m_options, m_random(), m_now);
         host.process = ++m_processes;
-        m_places[host.address] = name;
+        m_hostByAddress[host.address] = name;
         m_hosts[name] = std::move(host);
         const auto readList = [this, name, seeds] {
             apply(name, [&seeds](Membership &membership, TimePoint now) { return membership.onHostList(seeds, now); });
@@ -70,7 +71,7 @@
         schedule(name);
     }
 
-    // Starts hosts h0.. over the zones; all are on the list of each.
+    // Starts hosts h0, h1, ... distributed over the zones; each is on the list of all.
     void startMany(int count, int zones)
     {
         std::vector<HostSeed> seeds;
@@ -92,17 +93,17 @@
         return absl::StrCat("zone-", i % zones);
     }
 
-    // The host is gone without a word; its kernel refuses links when asked to.
+    // Removes a host without notice; connections to its address are refused.
     void crash(const std::string &name)
     {
         const auto found = m_hosts.find(name);
-        if (m_places[found->second.address] == name) {
-            m_places.erase(found->second.address);
+        if (m_hostByAddress[found->second.address] == name) {
+            m_hostByAddress.erase(found->second.address);
         }
         m_hosts.erase(found);
     }
 
-    // The host's process is frozen, and so is what is on its way to it.
+    // Suspends a host's process; messages to it are buffered.
     void pause(const std::string &name)
     {
         m_hosts.at(name).paused = true;
@@ -123,7 +124,7 @@
         schedule(name);
     }
 
-    // Cuts off the zones from all others; an empty set heals.
+    // Cuts off the zones from all others; an empty set heals the cut.
     void cut(std::set<std::string> zones)
     {
         m_cut = std::move(zones);
@@ -154,8 +155,8 @@
         schedule(name);
     }
 
-    // Runs an action at a host after a while: later when it is paused then, never
-    // when its process is gone.
+    // Runs an action at a host after a delay: after resume() if the host is paused then, and never
+    // if its process has ended.
     void after(const std::string &name, Clock::duration delay, std::function<void()> action)
     {
         Event event{m_now + delay, ++m_order, nullptr, {}, name};
@@ -164,12 +165,12 @@
         m_events.push(std::move(event));
     }
 
-    // Carries an action to another host as a message, which takes the latency and
-    // `extra`, may be lost and does not cross a cut.
+    // Sends an action to another host as a message, which takes the latency plus `extra`, may be
+    // lost and does not cross a cut.
     void transmit(const std::string &from, const std::string &to, Clock::duration extra, std::function<void()> action)
     {
         const bool lost = loss > 0 && std::bernoulli_distribution(loss)(m_random);
-        if (!lost && isRunning(to) && !separated(m_hosts.at(from).zone, m_hosts.at(to).zone)) {
+        if (!lost && isRunning(to) && !isSeparated(m_hosts.at(from).zone, m_hosts.at(to).zone)) {
             after(to, latency + extra, std::move(action));
         }
     }
@@ -189,7 +190,7 @@
         runUntil(duration, [] { return false; });
     }
 
-    // Runs until the condition holds; gives the time that took, or nothing.
+    // Runs until the condition holds; returns the elapsed time, or nullopt at the limit.
     std::optional<milliseconds> runUntil(Clock::duration limit, const std::function<bool()> &condition)
     {
         constexpr milliseconds checkEvery{20};
@@ -211,7 +212,7 @@
         return condition() ? std::optional(std::chrono::duration_cast<milliseconds>(limit)) : std::nullopt;
     }
 
-    // True when every running host holds exactly these hosts living.
+    // True when every running host considers exactly these hosts live.
     bool agree(const std::set<std::string> &living) const
     {
         const auto sees = [&living](const auto &entry) { return entry.second.membership->liveCount() == living.size(); };
@@ -236,7 +237,7 @@
         return living;
     }
 
-    // True when all running hosts see the named one so.
+    // True when the condition holds for the named host's record in the views of all running hosts.
     bool allSee(const std::string &name, const std::function<bool(const HostRecord &)> &condition) const
     {
         return std::all_of(m_hosts.begin(), m_hosts.end(), [&](const auto &entry) {
@@ -255,19 +256,19 @@
         bool paused = false;
         std::vector<GossipMessage> waiting;
         std::vector<std::function<void()>> waitingActions;
-        // Tells the processes of one name apart.
+        // Distinguishes processes of the same name.
         std::uint64_t process = 0;
     };
 
     struct Event {
         TimePoint at;
         std::uint64_t order = 0;
-        // Unset for a tick.
+        // Null for a tick.
         std::shared_ptr<const GossipMessage> message;
-        // Set when a link was refused.
+        // Set when a connection was refused.
         std::string refusedPeer;
         std::string to;
-        // Set for an action, which is meant for one process only.
+        // Set for an action, which applies to one process only.
         std::function<void()> action{};
         std::uint64_t process = 0;
 
@@ -287,7 +288,7 @@
         }
     }
 
-    bool separated(const std::string &one, const std::string &other) const
+    bool isSeparated(const std::string &one, const std::string &other) const
     {
         return one != other && (m_cut.contains(one) || m_cut.contains(other));
     }
@@ -299,14 +300,14 @@
             if (onSend) {
                 onSend(from, send);
             }
-            const auto place = m_places.find(send.address);
-            const bool there = place != m_places.end() && place->second == send.peer;
+            const auto place = m_hostByAddress.find(send.address);
+            const bool there = place != m_hostByAddress.end() && place->second == send.peer;
             if (!there) {
                 m_events.push(Event{m_now + latency * 2, ++m_order, nullptr, send.peer, from});
                 continue;
             }
             const bool lost = loss > 0 && std::bernoulli_distribution(loss)(m_random);
-            if (lost || separated(zone, m_hosts.at(send.peer).zone)) {
+            if (lost || isSeparated(zone, m_hosts.at(send.peer).zone)) {
                 continue;
             }
             auto message = std::make_shared<const GossipMessage>(std::move(send.message));
@@ -368,8 +369,8 @@
     std::uint64_t m_order = 0;
     std::uint64_t m_processes = 0;
     std::map<std::string, Host> m_hosts;
-    // Who answers at an address.
-    std::map<std::string, std::string> m_places;
+    // Name of the host that answers at an address.
+    std::map<std::string, std::string> m_hostByAddress;
     std::set<std::string> m_cut;
     std::priority_queue<Event> m_events;
 };
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -1,4 +1,4 @@
-// What hosts believe about each other, whatever becomes of their messages.
+// Tests of membership views under lost, delayed and outdated messages.
 
 #define BOOST_TEST_MODULE Membership
 #include <boost/test/unit_test.hpp>
@@ -26,7 +26,7 @@
     return record.health == HostHealth::Dead;
 }
 
-// A fleet in which everybody knows everybody.
+// A fleet in which every host knows all others.
 std::unique_ptr<GossipFleet> settledFleet(int hosts, int zones, std::uint64_t seed, MembershipOptions options = {})
 {
     auto fleet = std::make_unique<GossipFleet>(seed, options);
@@ -45,7 +45,7 @@
     return record;
 }
 
-GossipMessage newsFrom(const std::string &from, std::vector<HostRecord> records)
+GossipMessage messageFrom(const std::string &from, std::vector<HostRecord> records)
 {
     GossipMessage message;
     message.kind = GossipKind::Ack;
@@ -56,17 +56,17 @@
     return message;
 }
 
-// Feeds random, partly outdated news about one host and says whether a dead
-// incarnation of it ever came back.
-bool resurrects(const MembershipOptions &options, const std::vector<std::pair<int, int>> &news)
+// Feeds random, partly outdated records of one host and returns whether a dead incarnation of it
+// was revived.
+bool resurrects(const MembershipOptions &options, const std::vector<std::pair<int, int>> &records)
 {
     TimePoint now{seconds{1000}};
     Membership membership(recordOf("self", 1, HostHealth::Live), options, 1, now);
     std::optional<std::uint64_t> deadIncarnation;
-    for (const auto &[incarnation, health] : news) {
+    for (const auto &[incarnation, health] : records) {
         now += milliseconds{10};
         const auto record = recordOf("other", static_cast<std::uint64_t>(incarnation), static_cast<HostHealth>(health));
-        membership.onMessage(newsFrom("teller", {record}), now);
+        membership.onMessage(messageFrom("teller", {record}), now);
         const HostRecord *seen = membership.view()->host("other");
         if (seen == nullptr) {
             continue;
@@ -81,7 +81,7 @@
     return false;
 }
 
-// False deaths among hosts that all run, seen by any of them.
+// False deaths among running hosts, in any host's view.
 int falseDeaths(const MembershipOptions &options, double loss, seconds duration)
 {
     auto fleet = settledFleet(9, 3, 5, options);
@@ -112,12 +112,10 @@
     BOOST_TEST(settled.has_value(), "9 hosts that list each other did not find each other within 10 s");
 }
 
-// Symptom: after a power cut callers wait for a second and more, although every host
-// is back after a fifth of one.
-// Sequence: all hosts start within 200 ms; each knows the others from the list and
-// pings one of them in each period.
-// Cause: homes are taken once the view stands still, which took three periods.
-BOOST_AUTO_TEST_CASE(MeetsEverybodyAtOnceWhenAllHostsStartTogether)
+// Guards against slow discovery after a power failure: hosts that start within 200 ms and each ping
+// one listed host per period need three periods until their views settle, so no home is taken for a
+// second or more.
+BOOST_AUTO_TEST_CASE(DiscoversAllHostsAtOnceWhenTheyStartTogether)
 {
     BOOST_TEST(rc::check("known to all within a few round trips of the last start", [] {
         const int hosts = *rc::gen::inRange(2, 25);
@@ -135,11 +133,10 @@
     }));
 }
 
-// Symptom: after a power cut some homes are taken 0.3 to 0.7 s after the last host is back.
-// Sequence: hosts that started before ping a host that has not read its list yet, and tell
-// it of the others; the list comes, and the host has heard of everybody on it.
-// Cause: it pinged only those that it had not heard of, so the others went on without it.
-BOOST_AUTO_TEST_CASE(MeetsEverybodyAtOnceAlsoWhereOthersAreFasterThanItsList)
+// Guards against pinging only hosts without a record: a host that receives the records of others
+// before its list would contact none of them, they would learn of it late, and homes would be taken
+// 0.3 to 0.7 s after the last host is back.
+BOOST_AUTO_TEST_CASE(DiscoversAllHostsAtOnceWhenRecordsArriveBeforeItsList)
 {
     BOOST_TEST(rc::check("known to all within a few round trips of the last list", [] {
         const int hosts = *rc::gen::inRange(3, 25);
@@ -158,7 +155,7 @@
     }));
 }
 
-// The list of a large fleet is not pinged as a whole: its own zone first.
+// A large fleet's list is not pinged as a whole; hosts of the own zone come first.
 BOOST_AUTO_TEST_CASE(PingsItsOwnZoneFirstAndABoundedNumber)
 {
     std::vector<HostSeed> seeds;
@@ -175,30 +172,29 @@
                            [&send](const HostSeed &seed) { return seed.name == send.peer && seed.zone == "zone-0"; });
     });
     BOOST_TEST(inZone == 10, "pinged " << inZone << " of the 10 hosts of its zone");
-    BOOST_TEST(membership.onHostList(seeds, now).empty(), "a list is pinged once");
+    BOOST_TEST(membership.onHostList(seeds, now).empty(), "only the first list is pinged");
 }
 
-// Symptom: hosts of a zone that is cut off go on as if nothing had happened.
-// Sequence: one zone of three is cut off from the others.
-// Cause: nothing tells a partition from the loss of single hosts.
-BOOST_AUTO_TEST_CASE(SeesNobodyElsewhereFromAZoneThatIsCutOff)
+// A host has to distinguish a partition from the loss of single hosts, here when one zone of three
+// is cut off; otherwise hosts of the cut-off zone would go on serving as before.
+BOOST_AUTO_TEST_CASE(CountsNoLiveHostElsewhereInAZoneThatIsCutOff)
 {
     GossipFleet fleet(7);
     fleet.startMany(9, 3);
     fleet.runFor(seconds{3});
     BOOST_TEST(fleet.host("h0").reach(fleet.now()).live == 8U);
     fleet.cut({"zone-0"});
-    const auto seesTheCut = [&fleet](const std::string &name) {
+    const auto detectsCut = [&fleet](const std::string &name) {
         const HostReach reach = fleet.host(name).reach(fleet.now());
         const bool isCut = fleet.zone(name) == "zone-0";
         return reach == (isCut ? HostReach{2, 6, 0, 6} : HostReach{5, 3, 3, 3});
     };
     const std::vector<std::string> names = fleet.names();
-    const auto seen = fleet.runUntil(seconds{4}, [&] { return std::ranges::all_of(names, seesTheCut); });
+    const auto seen = fleet.runUntil(seconds{4}, [&] { return std::ranges::all_of(names, detectsCut); });
     BOOST_TEST(seen.has_value(), "the cut is not seen by all hosts within 4 s");
 }
 
-// A planned stop is no loss.
+// A planned stop does not count as a loss.
 BOOST_AUTO_TEST_CASE(CountsADepartedHostNowhere)
 {
     GossipFleet fleet(8);
@@ -215,18 +211,18 @@
     BOOST_TEST(reach.lost == 0U, "a planned stop shows as " << reach.lost << " lost hosts");
 }
 
-BOOST_AUTO_TEST_CASE(KnowsWhetherItHasMetItsZone)
+BOOST_AUTO_TEST_CASE(KnowsWhetherItHasDiscoveredItsZone)
 {
     const TimePoint now{seconds{1000}};
     Membership membership(recordOf("self", 1, HostHealth::Live), MembershipOptions{}, 1, now);
-    BOOST_TEST(!membership.hasMetZone(), "without a list nobody can be said to have been met");
+    BOOST_TEST(!membership.hasMetZone(), "before the first list the zone must count as unknown");
     membership.onHostList({HostSeed{"other", "zone-0", "10.0.0.8:1"}, HostSeed{"far", "zone-1", "10.0.0.7:1"}}, now);
-    BOOST_TEST(!membership.hasMetZone(), "the other host of the zone has not been heard of");
-    membership.onMessage(newsFrom("other", {recordOf("other", 1, HostHealth::Live)}), now);
+    BOOST_TEST(!membership.hasMetZone(), "the other host of the zone is not known yet");
+    membership.onMessage(messageFrom("other", {recordOf("other", 1, HostHealth::Live)}), now);
     BOOST_TEST(membership.hasMetZone(), "all hosts of the zone are known");
 }
 
-// The platform's list lags: a host may know only one other.
+// The platform's list lags, so a host may know only one other.
 BOOST_AUTO_TEST_CASE(FindsAllHostsThroughAChainOfLists)
 {
     GossipFleet fleet(2);
@@ -239,10 +235,10 @@
         fleet.start(GossipFleet::nameOf(i), "zone-0", i, 1, seeds);
     }
     const auto settled = fleet.runUntil(seconds{30}, [&] { return fleet.agreeOnAll(); });
-    BOOST_TEST(settled.has_value(), "a chain of lists has to lead everywhere within 30 s");
+    BOOST_TEST(settled.has_value(), "hosts that list only their predecessor did not find each other within 30 s");
 }
 
-BOOST_AUTO_TEST_CASE(TrustsItsViewOnceAPeerAnsweredOrNobodyDid)
+BOOST_AUTO_TEST_CASE(TrustsItsViewOnceAPeerAnsweredOrNoneDid)
 {
     GossipFleet fleet(3);
     fleet.start("alone", "zone-0", 1, 1, {HostSeed{"nobody", "zone-0", GossipFleet::addressOf(2)}});
@@ -251,9 +247,8 @@
     BOOST_TEST(trusted.has_value(), "a host that is cut off alone has to go on serving");
 }
 
-// Symptom: writes fail for many seconds after a host died.
-// Sequence: a host dies; its homes move once it is held dead.
-// Cause: the failure detector waits too long.
+// Guards against slow failure detection: the homes of a dead host move, and writes resume, only
+// once it is considered dead.
 BOOST_AUTO_TEST_CASE(FindsADeadHostWithinAboutASecond)
 {
     milliseconds worst{0};
@@ -261,7 +256,7 @@
     constexpr int trials = 100;
     for (std::uint64_t trial = 0; trial < trials; ++trial) {
         auto fleet = settledFleet(9, 4, trial);
-        fleet->pause("h4"); // Silent, but its address still takes messages.
+        fleet->pause("h4"); // Silent, but its address still accepts messages.
         const auto found = fleet->runUntil(seconds{10}, [&] {
             const auto names = fleet->names();
             return std::all_of(names.begin(), names.end(), [&](const std::string &name) {
@@ -292,19 +287,18 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(TakesAHostThatDepartsForDeadAtOnce)
+BOOST_AUTO_TEST_CASE(ConsidersADepartedHostDeadAtOnce)
 {
     auto fleet = settledFleet(9, 4, 11);
     fleet->apply("h3", [](Membership &host, TimePoint now) { return host.depart(now); });
     fleet->runFor(milliseconds{5});
     fleet->crash("h3");
     const auto known = fleet->runUntil(seconds{2}, [&] { return fleet->allSee("h3", isDead); });
-    BOOST_TEST(known.has_value(), "a goodbye has to spread without waiting for a suspicion");
+    BOOST_TEST(known.has_value(), "a departure has to spread without waiting for a suspicion");
 }
 
-// Symptom: after a network partition hosts of the other side stay lost.
-// Sequence: zones are cut off; each side holds the other dead; the cut heals.
-// Cause: nobody calls on the dead, and the dead do not know that they are.
+// Guards against a partition that never heals: each side considers the other dead, so unless hosts
+// ping dead ones, neither side contacts the other again.
 BOOST_AUTO_TEST_CASE(SeparatesWithACutAndComesTogetherAgain)
 {
     BOOST_TEST(rc::check("views follow the cut and the healing", [] {
@@ -334,9 +328,8 @@
     }));
 }
 
-// Symptom: a replaced host stays in the view, and its upstreams get no home.
-// Sequence: a host dies; another one starts at once under its address.
-// Cause: the address answers, so the old host looks alive.
+// Guards against a replaced host that stays in the view so that its upstreams get no home: the
+// successor answers at the same address, so the old host seems live.
 BOOST_AUTO_TEST_CASE(ReplacesAHostUnderTheSameAddress)
 {
     auto fleet = settledFleet(9, 4, 13);
@@ -346,7 +339,7 @@
     BOOST_TEST(settled.has_value(), "the old host has to be dead and the new one living everywhere");
 }
 
-BOOST_AUTO_TEST_CASE(TakesARestartedHostForANewOne)
+BOOST_AUTO_TEST_CASE(AcceptsARestartedHost)
 {
     auto fleet = settledFleet(9, 4, 17);
     fleet->crash("h5");
@@ -358,9 +351,9 @@
     BOOST_TEST(settled.has_value());
 }
 
-// A restart with a clock behind the old process: the fleet still remembers a
-// higher incarnation as dead.
-BOOST_AUTO_TEST_CASE(LetsARestartedHostWithALowerIncarnationIn)
+// A restart with a clock behind the earlier process's: the fleet still retains a higher incarnation
+// as dead.
+BOOST_AUTO_TEST_CASE(AcceptsARestartedHostWithALowerIncarnation)
 {
     auto fleet = settledFleet(9, 4, 19);
     fleet->crash("h5");
@@ -370,11 +363,9 @@
     BOOST_TEST(settled.has_value(), "it has to raise its incarnation above what is remembered");
 }
 
-// Symptom: when a partition heals, homes move all over the fleet and cut the
-// transactions that run there.
-// Sequence: each side holds the other dead; across the first link that works
-// again, each hears that its own neighbours are dead.
-// Cause: hearsay is believed without a look.
+// Whether a healed partition makes a host consider a host of its own zone dead. Each side receives
+// on the first contact that its own neighbours are dead; if it applied that without verification,
+// homes would move all over the fleet and abort transactions.
 bool disturbsNeighbours(const MembershipOptions &options)
 {
     auto fleet = settledFleet(24, 4, 41, options);
@@ -396,25 +387,24 @@
 
 BOOST_AUTO_TEST_CASE(HealsWithoutDisturbingNeighbours)
 {
-    BOOST_TEST(!disturbsNeighbours(MembershipOptions{}), "a host took a neighbour for dead that it never lost");
+    BOOST_TEST(!disturbsNeighbours(MembershipOptions{}), "a host considered a reachable host of its zone dead");
 }
 
-BOOST_AUTO_TEST_CASE(DisturbsNeighboursOnceHearsayIsBelieved)
+BOOST_AUTO_TEST_CASE(DisturbsNeighboursWithUnverifiedDeathReports)
 {
     MembershipOptions mutant;
     mutant.checksHearsay = false;
-    BOOST_TEST(disturbsNeighbours(mutant), "believed hearsay has to disturb; the proof above is blind");
+    BOOST_TEST(disturbsNeighbours(mutant), "unverified death reports have to cause false deaths; the test above detects nothing");
 }
 
-// Symptom: a host that died gets requests again.
-// Sequence: old news of its life arrives after the news of its death.
-// Cause: the later message is believed, whatever it speaks about.
+// Guards against requests to a dead host: a record from its lifetime may arrive after the record of
+// its death and must not revive it.
 BOOST_AUTO_TEST_CASE(NeverRevivesADeadIncarnation)
 {
     BOOST_TEST(rc::check("only a higher incarnation brings a host back", [] {
-        const auto news =
+        const auto records =
             *rc::gen::container<std::vector<std::pair<int, int>>>(rc::gen::pair(rc::gen::inRange(1, 5), rc::gen::inRange(0, 3)));
-        RC_ASSERT(!resurrects(MembershipOptions{}, news));
+        RC_ASSERT(!resurrects(MembershipOptions{}, records));
     }));
 }
 
@@ -422,9 +412,10 @@
 {
     MembershipOptions mutant;
     mutant.remembersIncarnations = false;
-    const std::vector<std::pair<int, int>> news{{2, 0}, {2, 1}, {2, 2}, {1, 0}};
-    BOOST_TEST(resurrects(mutant, news), "without incarnations old news has to revive the dead; the proof above is blind");
-    BOOST_TEST(!resurrects(MembershipOptions{}, news));
+    const std::vector<std::pair<int, int>> records{{2, 0}, {2, 1}, {2, 2}, {1, 0}};
+    BOOST_TEST(resurrects(mutant, records),
+               "without incarnations old records have to revive a dead host; the test above detects nothing");
+    BOOST_TEST(!resurrects(MembershipOptions{}, records));
 }
 
 BOOST_AUTO_TEST_CASE(KeepsLivingHostsDespiteLostMessages)
@@ -433,18 +424,18 @@
     BOOST_TEST(deaths == 0, deaths << " false deaths in 120 s with a tenth of the messages lost");
 }
 
-BOOST_AUTO_TEST_CASE(KillsLivingHostsOnceTheyCannotRefute)
+BOOST_AUTO_TEST_CASE(DeclaresLiveHostsDeadWhenTheyCannotRefute)
 {
     MembershipOptions mutant;
     mutant.refutes = false;
     mutant.confirmsIndirectly = false;
     const int deaths = falseDeaths(mutant, 0.1, seconds{120});
-    BOOST_TEST(deaths > 0, "without refutation and confirmation losses have to kill; the proof above is blind");
+    BOOST_TEST(deaths > 0,
+               "without refutation and indirect probes lost messages have to cause false deaths; the test above detects nothing");
 }
 
-// Symptom: a frozen host wakes up and moves homes about.
-// Sequence: all its timers are overdue; it finds everybody silent.
-// Cause: its own silence is taken for that of others.
+// Guards against a resumed host that moves homes: all its timers are overdue, and it must not take
+// its own pause for the silence of others.
 BOOST_AUTO_TEST_CASE(DistrustsItsViewAfterAPause)
 {
     auto fleet = settledFleet(9, 4, 23);
@@ -452,16 +443,16 @@
     fleet->runFor(seconds{30});
     fleet->cut({fleet->zone("h2")});
     fleet->resume("h2");
-    BOOST_TEST(!fleet->host("h2").view()->trusted, "what waited in its sockets is from before the pause");
+    BOOST_TEST(!fleet->host("h2").view()->trusted, "messages buffered during the pause must not restore trust");
     const std::size_t living = fleet->host("h2").liveCount();
-    BOOST_TEST(living == 9U, "waking up is no reason to hold " << 9 - living << " hosts dead");
+    BOOST_TEST(living == 9U, "" << 9 - living << " hosts were declared dead after the pause");
     fleet->cut({});
     const auto back = fleet->runUntil(seconds{10}, [&] { return fleet->host("h2").view()->trusted && fleet->agreeOnAll(); });
-    BOOST_TEST(back.has_value(), "it has to trust its view again and be taken back");
+    BOOST_TEST(back.has_value(), "the host has to trust its view again and rejoin");
 }
 
-// Symptom: control traffic eats the hosts when the fleet grows.
-// Cause: a host that talks to all others every period.
+// Guards against control traffic that grows with the fleet, as when a host contacts all others
+// every period.
 BOOST_AUTO_TEST_CASE(KeepsItsFanOutWhateverTheSizeOfTheFleet)
 {
     const auto busiest = [](int hosts) {
@@ -483,8 +474,8 @@
     const auto [fewMessages, fewPeers] = busiest(16);
     const auto [manyMessages, manyPeers] = busiest(128);
     BOOST_TEST(manyMessages <= fewMessages, "messages in 10 s grew from " << fewMessages << " to " << manyMessages);
-    // 3 watched and 3 watching, and one or two more where a host comes next in
-    // two rings of another and that one takes the host behind it instead.
+    // 3 watched and 3 watching, and one or two more where a host is the successor in two rings of
+    // another, which then watches the host after it instead.
     BOOST_TEST(manyPeers <= 8U, manyPeers << " peers of one host among 128, " << fewPeers << " among 16");
 }
 
@@ -492,27 +483,27 @@
 {
     auto fleet = settledFleet(40, 4, 31);
     fleet->host("h7").setCatalogVersion({12, 0});
-    const auto heard = fleet->runUntil(seconds{6}, [&] {
+    const auto spread = fleet->runUntil(seconds{6}, [&] {
         const auto names = fleet->names();
         return std::all_of(names.begin(), names.end(), [&](const std::string &name) {
             return fleet->host(name).highestCatalogVersion() == CatalogVersion{12, 0};
         });
     });
-    BOOST_REQUIRE_MESSAGE(heard.has_value(), "a version has to be heard of everywhere within 6 s");
+    BOOST_REQUIRE_MESSAGE(spread.has_value(), "a version did not reach every host within 6 s");
     BOOST_TEST(*fleet->host("h0").holderOfHighestCatalog() == "h7");
-    BOOST_TEST(!fleet->host("h7").holderOfHighestCatalog().has_value(), "the holder needs to pull from nobody");
+    BOOST_TEST(!fleet->host("h7").holderOfHighestCatalog().has_value(), "the holder needs to pull from no other host");
 }
 
 BOOST_AUTO_TEST_CASE(ComputesHomesAnewOnlyWhenTheyMayChange)
 {
     auto fleet = settledFleet(9, 4, 37);
     const std::uint64_t before = fleet->host("h0").view()->placementVersion;
-    const GossipMessage slander = newsFrom("h1", {[&] {
-                                               HostRecord record = *fleet->host("h0").view()->host("h3");
-                                               record.health = HostHealth::Suspect;
-                                               return record;
-                                           }()});
-    fleet->apply("h0", [&](Membership &host, TimePoint now) { return host.onMessage(slander, now); });
+    const GossipMessage falseSuspicion = messageFrom("h1", {[&] {
+                                                         HostRecord record = *fleet->host("h0").view()->host("h3");
+                                                         record.health = HostHealth::Suspect;
+                                                         return record;
+                                                     }()});
+    fleet->apply("h0", [&](Membership &host, TimePoint now) { return host.onMessage(falseSuspicion, now); });
     BOOST_TEST((fleet->host("h0").view()->host("h3")->health == HostHealth::Suspect));
     fleet->runFor(seconds{5});
     BOOST_TEST((fleet->host("h0").view()->host("h3")->health == HostHealth::Live), "a false suspicion has to be refuted");
