--- a/include/egrettide/core/joingate.h
+++ b/include/egrettide/core/joingate.h
@@ -1,13 +1,13 @@
-// When a host that has just started may become the home of upstreams.
+// Decides when a host that has just started may become the home of upstreams.
 //
-// What goes wrong without it: a host that has just started knows nobody, then two
-// others, then all of them. It would take itself for the home of every upstream, then
-// of many, open connections and close them again; when many start together, upstreams
-// refuse connections to all, and callers wait for seconds. So it holds nothing until
-// it knows the hosts of its zone; a host that nobody answers is alone, or cut off, and
-// serves what it can.
+// A host learns of the others one after another while it starts. Without a delay it would take
+// itself for the home of every upstream, then of many, and open connections only to close them
+// again; when many hosts start together, upstreams refuse connections to all of them and callers
+// wait for seconds. A starting host therefore becomes a home only once it knows the hosts of its
+// zone. A host that receives no answer is alone or cut off, and joins at the bound to serve what it
+// can.
 //
-// Pure: time comes in, the time to join comes out.
+// Pure: time is passed in, the time to join is returned.
 
 #pragma once
 
@@ -21,31 +21,33 @@
 {
 
 struct JoinOptions {
-    // A host that starts hears from the others within two heartbeats; twice that.
+    // Longest delay after the start: twice the two heartbeats within which a starting host receives
+    // messages from the others.
     milliseconds bound{1500};
-    // Of seven hosts that started within 0.2 s, each saw the last of the others at most
-    // 0.25 s after the one before.
+    // Time without a change of the zone's hosts after which the host joins. Of seven hosts that
+    // started within 0.2 s, each discovered the last of the others at most 0.25 s after the one
+    // before.
     milliseconds settleTime{300};
 };
 
-// The decision of one host. Not thread-safe; lives on the control thread.
+// The join decision of one host. Not thread-safe; lives on the control thread.
 class JoinGate
 {
 public:
     JoinGate(std::string zone, JoinOptions options, TimePoint startedAt);
 
-    // Takes the newest view. `hasMetZone` says that every listed host of the zone is known.
-    void onView(const MembershipView &view, bool hasMetZone, TimePoint now);
-    // When the host joins, unless a view changes it; never later than the bound.
+    // Processes the newest view. `hasDiscoveredZone` is true when every listed host of the zone is known.
+    void onView(const MembershipView &view, bool hasDiscoveredZone, TimePoint now);
+    // When the host joins unless a later view changes it; never later than the bound.
     TimePoint joinsAt() const;
 
 private:
     const std::string m_zone;
     const JoinOptions m_options;
-    const TimePoint m_bound;
-    // Never after m_bound.
+    const TimePoint m_latestJoin;
+    // Invariant: never after m_latestJoin.
     TimePoint m_joinsAt;
-    // The living hosts of the zone: homes of its upstreams depend on these alone.
+    // Live and suspect hosts of the zone. The homes of its upstreams depend on these alone.
     std::vector<std::string> m_zoneHosts;
     bool m_trusted = false;
 };
--- a/include/egrettide/core/linkprobe.h
+++ b/include/egrettide/core/linkprobe.h
@@ -1,10 +1,10 @@
-// When a connection to another host is probed, and when it counts as lost.
+// Decides when a connection to another host is probed and when it counts as lost.
 //
-// A connection can go silent without an error: what is sent on it is lost, and the operating
-// system notices only after seconds. Whoever waits for an answer would wait for nothing, and
-// news that nobody answers would be lost without a sign.
+// A connection can fall silent without an error: what is sent on it is lost, and the operating
+// system reports the failure only after seconds. Without probes, requests would wait for answers
+// that cannot come, and messages that need no answer would be lost unnoticed.
 //
-// Pure: time comes in. Not thread-safe.
+// Pure: time is passed in. Not thread-safe.
 
 #pragma once
 
@@ -14,14 +14,15 @@
 {
 
 struct LinkProbeOptions {
-    // A connection with work on it is probed this often, also while bytes come.
+    // Interval between probes of a connection with outstanding requests, also while bytes arrive.
     milliseconds pingInterval{500};
-    // Without a byte for this long it is probed, and again after the same time.
+    // Such a connection is also probed after this long without a byte, and again after the same
+    // time.
     milliseconds quietInterval{80};
-    // The same while only messages were sent. Longer, as an answer may stand behind bulk on a
-    // slow link, and nobody waits for a single message.
+    // The same while only messages without an answer were sent. Longer, as the answer to a probe
+    // may queue behind bulk data on a slow link, and no request waits for it.
     milliseconds messageInterval{250};
-    // Probes in a row after which nothing at all came, and the connection is given up.
+    // Consecutive probes without a received byte after which the connection is given up.
     int mostMissed = 3;
 };
 
@@ -32,21 +33,22 @@
 public:
     explicit LinkProbe(LinkProbeOptions options = {});
 
-    // A message was sent that the other side need not answer on this connection, or there is
-    // another reason to doubt that anything arrives.
+    // Marks the connection as unproven: a message was sent that needs no answer on this connection,
+    // or the caller has another reason to doubt that data arrives.
     void doubt(TimePoint now);
-    // What is due. `heardAt` is when the last byte came; `working` says that somebody waits for
-    // an answer over this connection. With Ping the caller sends one, which the other side answers.
-    LinkProbeStep next(TimePoint heardAt, bool working, TimePoint now);
-    // Whether nothing has come since the last doubt.
-    bool isUnproven(TimePoint heardAt) const;
-    // Whether a probe was answered by nothing so far.
+    // Returns the step that is due. `lastReceivedAt` is when the last byte arrived;
+    // `awaitingAnswer` is true while a request waits for an answer over this connection. On Ping
+    // the caller sends a probe, which the other side answers.
+    LinkProbeStep next(TimePoint lastReceivedAt, bool awaitingAnswer, TimePoint now);
+    // Whether no byte has arrived since the connection was last marked as unproven.
+    bool isUnproven(TimePoint lastReceivedAt) const;
+    // Whether at least one probe is overdue without a received byte.
     bool isSilent() const;
 
 private:
     const LinkProbeOptions m_options;
-    TimePoint m_doubtedAt;
-    TimePoint m_pingAt;
+    TimePoint m_unprovenSince;
+    TimePoint m_lastPingAt;
     int m_missed = 0;
 };
 
--- a/include/egrettide/core/partitiondetector.h
+++ b/include/egrettide/core/partitiondetector.h
@@ -1,21 +1,20 @@
-// Whether this host is on the losing side of a network partition, and what its callers
-// get out of that.
+// Detects that this host is on the losing side of a network partition, and decides when its callers
+// should reconnect elsewhere.
 //
-// What goes wrong without it: a zone is cut off from the others and from the platform's
-// store, but not from its callers. Its hosts can reach the primary of hardly any
-// database, and may serve reads only for as long as the accepted age. Callers keep their
-// connections and go on asking there, while hosts that could serve them stand beside.
+// When a zone is cut off from the other zones and from the platform's store but not from its
+// callers, its hosts reach the primaries of few databases and may serve reads only up to the
+// accepted age. Callers would keep their connections there although other hosts could serve them.
 //
-// So such a host says that it is not ready, and once the balancer has had time to notice,
-// it closes the sessions that it had; they reconnect to a host that can serve them. Of the
-// requests of nine hosts in three zones, one of them cut off for 6 s, 0.66 to 0.73 were
-// served in time in seconds 3 to 6 of the cut, 0.91 to 0.99 with this (days with other trouble
-// besides, in simulated time).
+// A cut-off host therefore reports that it is not ready and, once the balancer has had time to
+// react, closes its sessions; the callers reconnect to a host that can serve them. Measured on nine
+// hosts in three zones with one zone cut off for 6 s, in seconds 3 to 6 of the cut (simulated time,
+// together with other faults): 0.66 to 0.73 of the requests were served in time without this, 0.91
+// to 0.99 with it.
 //
-// A host that holds the others for lost may be the one that is left: it asks the store
-// before it believes otherwise. Who reaches the store stays.
+// A host that has lost the others may itself be on the surviving side, so it queries the store
+// first. A host that reaches the store stays ready.
 //
-// Pure: what is seen of the others and of the store comes in, decisions come out.
+// Pure: reachability of hosts and store is passed in, decisions are returned.
 
 #pragma once
 
@@ -26,98 +25,97 @@
 namespace egrettide
 {
 
-// The other hosts as one host sees them. A host that announced its departure counts
-// nowhere.
+// The other hosts as one host sees them. Hosts that announced their departure are not counted.
 struct HostReach {
     std::size_t live = 0;
-    // Suspect, or found dead within HostReach::lossWindow.
+    // Suspect, or declared dead within HostReach::lossWindow.
     std::size_t lost = 0;
-    // The same for the hosts of other availability zones.
+    // The same for hosts of other availability zones.
     std::size_t liveElsewhere = 0;
     std::size_t lostElsewhere = 0;
 
-    // A partition shows as many losses in about a second: all suspicions of a fleet of 510
-    // hosts end within 4 s. A host that died longer ago tells nothing about this moment.
+    // Age up to which a death counts as a loss. A partition shows as many losses in about a second,
+    // and all suspicions of a fleet of 510 hosts end within 4 s; older deaths say nothing about the
+    // present state.
     static constexpr milliseconds lossWindow{10'000};
 
     bool operator==(const HostReach &) const = default;
 };
 
 struct PartitionOptions {
-    // How long the store may take to answer before this host says that it is not ready. It
-    // answers in 4 ms, and in 0.25 s when it is slow: an answer that comes later still
-    // counts, and makes the host ready again.
+    // How long the store may take to answer before this host reports not ready. The store answers
+    // in 4 ms, and in 0.25 s when it is slow; a later answer still counts and makes the host ready
+    // again.
     milliseconds storePatience{150};
-    // How long an answer is waited for, and the spacing of questions while a partition is
-    // suspected or lasts: each is counted by the platform.
+    // Timeout of a store query, and interval between queries while a partition is suspected or
+    // lasts. The platform accounts for each query.
     milliseconds askAgain{1000};
-    // How long the balancer takes to send new callers elsewhere.
+    // How long the balancer takes to route new callers elsewhere.
     milliseconds balancerNotice{0};
-    // After so many answers in a row that the host is not ready the balancer does so; 0
-    // when that is not known.
+    // Consecutive not-ready answers after which the balancer routes callers elsewhere; 0 when
+    // unknown.
     int balancerMisses = 0;
-    // From the last of these answers to the balancer's decision.
-    milliseconds missSettles{50};
-    // Callers are moved again after this long, then after twice as long each time, up to
-    // the second: hosts of one zone find out one after the other, and while one of them
-    // still counts as ready, sessions that another one has closed come back to the zone.
-    // Where there is no better place, a session reconnects so often and no more.
+    // Time from the last of these answers to the balancer's decision.
+    milliseconds balancerDecisionTime{50};
+    // Spacing of repeated moves of callers: the first, doubled each time up to the maximum. Hosts
+    // of one zone detect the partition one after another, and while one of them still counts as
+    // ready, sessions closed by another return to the zone. Where no better host exists, the
+    // spacing bounds how often a session reconnects.
     milliseconds firstMoveSpacing{1000};
-    milliseconds longestMoveSpacing{30'000};
-    // Off only to measure what it is worth.
+    milliseconds maxMoveSpacing{30'000};
+    // Off only in measurements that compare against no detection.
     bool enabled = true;
 };
 
-// The decision of one host. Not thread-safe; lives on the control thread.
+// The partition decision of one host. Not thread-safe; lives on the control thread.
 class PartitionDetector
 {
 public:
     explicit PartitionDetector(const PartitionOptions &options);
 
-    // Takes what the membership sees now.
+    // Processes the current reachability of the other hosts.
     void onReach(const HostReach &reach, TimePoint now);
-    // The store has answered a question, or has not within PartitionOptions::askAgain.
+    // The store has answered a query, or has not within the query timeout.
     void onStoreAnswer(bool answered, TimePoint now);
-    // The balancer was told whether this host is ready.
+    // The balancer has received this host's readiness.
     void onReadinessTold(bool ready, TimePoint now);
-    // What is due by now; call it at nextEventAt() or sooner.
+    // Performs the work that is due at `now`. Must be called at nextEventAt() or sooner.
     void onTimer(TimePoint now);
 
-    // When something changes by itself; max() for never.
+    // When the state changes without another event; max() for never.
     TimePoint nextEventAt() const;
-    // True once for each question that is due.
+    // Returns true once for each store query that is due.
     bool asksStore(TimePoint now);
-    // True each time when the sessions that are open now are better served elsewhere.
+    // Returns true each time the currently open sessions should be moved elsewhere.
     bool movesCallers(TimePoint now);
 
-    // True while the others look as if this host were cut off, whatever the store says.
+    // True while the other hosts look as if this host were cut off, whatever the store answers.
     bool isSuspected() const;
-    // True while this host holds itself for cut off: it is not ready for callers.
+    // True while this host is considered cut off and not ready for callers.
     bool isCutOff() const;
 
 private:
     bool looksCutOff(const HostReach &reach) const;
-    void holdForCutOff(TimePoint now);
-    void reconnect();
-    void mend();
+    void markCutOff(TimePoint now);
+    void clearCutOff();
+    void clearSuspicion();
 
     const PartitionOptions m_options;
-    // The most hosts that were lost at once since the partition was first suspected; 0
-    // while none is.
-    std::size_t m_lost = 0;
-    std::size_t m_lostElsewhere = 0;
+    // Maximum simultaneous losses since the partition was first suspected; 0 while none is.
+    std::size_t m_maxLost = 0;
+    std::size_t m_maxLostElsewhere = 0;
     bool m_suspected = false;
     // Invariant: implies m_suspected.
     bool m_cutOff = false;
-    // max() while no question is due, or one is under way.
-    TimePoint m_askAt = TimePoint::max();
-    // When the question that is under way has been silent for too long; else max().
-    TimePoint m_silentAt = TimePoint::max();
-    // max() unless this host holds itself for cut off.
-    TimePoint m_moveAt = TimePoint::max();
+    // max() while no query is due, or one is outstanding.
+    TimePoint m_nextStoreQueryAt = TimePoint::max();
+    // When the outstanding query exceeds the answer timeout; max() without one.
+    TimePoint m_storeTimeoutAt = TimePoint::max();
+    // max() unless this host is considered cut off.
+    TimePoint m_nextMoveAt = TimePoint::max();
     milliseconds m_moveSpacing{0};
-    // Answers in a row, since this host holds itself for cut off, that it is not ready.
-    int m_misses = 0;
+    // Consecutive not-ready answers since this host is considered cut off.
+    int m_notReadyAnswers = 0;
 };
 
 } // namespace egrettide
--- a/include/egrettide/core/placement.h
+++ b/include/egrettide/core/placement.h
@@ -1,7 +1,7 @@
-// Which host is the home of an upstream: rendezvous hashing among the live hosts
-// of the upstream's own zone, with a bound on how many upstreams one host gets.
-// The choice is a pure function of the hosts and upstreams, so hosts with the
-// same view and configuration agree without talking.
+// Assigns upstreams to their homes (the one host that holds an upstream's connections and slots):
+// rendezvous hashing among the live hosts of the upstream's zone, with a bound on the upstreams per
+// host. The assignment is a pure function of hosts and upstreams, so hosts with the same view and
+// configuration agree without communicating.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 struct PlacementHost {
     std::string name;
     std::string zone;
-    // A leaving host is a home only while no other host is there.
+    // A leaving host is a home only while no other host is available.
     bool leaving = false;
 
     bool operator==(const PlacementHost &) const = default;
@@ -34,9 +34,8 @@
 };
 
 struct PlacementOptions {
-    // A host gets at most this many times the mean number of upstreams of its
-    // zone, rounded down, but never less than an even share rounded up. 0
-    // switches the bound off.
+    // Maximum upstreams per host, as a multiple of the mean of its zone, rounded down but never
+    // less than an even share rounded up. 0 disables the bound.
     double loadFactor = 1.75;
 };
 
@@ -48,8 +47,8 @@
     // Hosts must be neither dead nor listed twice; the order of both lists does not matter.
     Placement(std::vector<PlacementHost> hosts, const std::vector<PlacementUpstream> &upstreams, PlacementOptions options = {});
 
-    // The home of the upstream, nothing when there is no host at all. Upstreams
-    // that are not in the list are placed by rendezvous hashing without a bound.
+    // The home of the upstream, nullopt when there is no host. Upstreams that are not listed are
+    // placed by rendezvous hashing without a bound.
     std::optional<std::string> homeOf(std::string_view upstreamName, std::string_view zone) const;
     // Listed upstreams whose home is this host, sorted by name.
     std::vector<std::string> upstreamsOf(std::string_view hostName) const;
@@ -68,11 +67,11 @@
     absl::flat_hash_map<std::string, std::size_t> m_homes;
 };
 
-// The score of a host for an upstream; the host with the highest score is first
-// choice. Fixed for all time: hosts of different builds have to agree.
+// Score of a host for an upstream; the host with the highest score is the first choice. The
+// function must never change, since hosts of different builds have to agree.
 std::uint64_t rendezvousScore(std::uint64_t hostKey, std::uint64_t upstreamKey);
 
-// The stable key of a name.
+// Stable key of a name; must never change either.
 std::uint64_t placementKey(std::string_view name);
 
 } // namespace egrettide
--- a/src/core/fleet/joingate.cpp
+++ b/src/core/fleet/joingate.cpp
@@ -1,4 +1,4 @@
-// When a host that has just started may become the home of upstreams.
+// Join decision of a host that has just started.
 
 #include "egrettide/core/joingate.h"
 
@@ -9,11 +9,11 @@
 {
 
 JoinGate::JoinGate(std::string zone, JoinOptions options, TimePoint startedAt)
-    : m_zone(std::move(zone)), m_options(options), m_bound(startedAt + options.bound), m_joinsAt(m_bound)
+    : m_zone(std::move(zone)), m_options(options), m_latestJoin(startedAt + options.bound), m_joinsAt(m_latestJoin)
 {
 }
 
-void JoinGate::onView(const MembershipView &view, bool hasMetZone, TimePoint now)
+void JoinGate::onView(const MembershipView &view, bool hasDiscoveredZone, TimePoint now)
 {
     std::vector<std::string> zoneHosts;
     for (const PlacementHost &host : view.placementHosts()) {
@@ -21,15 +21,15 @@
             zoneHosts.push_back(host.name);
         }
     }
-    const bool isNews = zoneHosts != m_zoneHosts || view.trusted != m_trusted;
+    const bool hasChanged = zoneHosts != m_zoneHosts || view.trusted != m_trusted;
     m_zoneHosts = std::move(zoneHosts);
     m_trusted = view.trusted;
     if (!view.trusted) {
-        m_joinsAt = m_bound;
-    } else if (hasMetZone) {
+        m_joinsAt = m_latestJoin;
+    } else if (hasDiscoveredZone) {
         m_joinsAt = std::min(m_joinsAt, now);
-    } else if (isNews) {
-        m_joinsAt = std::min(now + m_options.settleTime, m_bound);
+    } else if (hasChanged) {
+        m_joinsAt = std::min(now + m_options.settleTime, m_latestJoin);
     }
 }
 
--- a/src/core/fleet/linkprobe.cpp
+++ b/src/core/fleet/linkprobe.cpp
@@ -1,5 +1,5 @@
-// Counts probes instead of time, so that a pause of this process does not look like a
-// silent peer.
+// Probe schedule of a connection. Counts unanswered probes instead of elapsed time, so that a pause
+// of this process does not look like a silent peer.
 
 #include "egrettide/core/linkprobe.h"
 
@@ -14,12 +14,12 @@
 
 void LinkProbe::doubt(TimePoint now)
 {
-    m_doubtedAt = now;
+    m_unprovenSince = now;
 }
 
-bool LinkProbe::isUnproven(TimePoint heardAt) const
+bool LinkProbe::isUnproven(TimePoint lastReceivedAt) const
 {
-    return heardAt < m_doubtedAt;
+    return lastReceivedAt < m_unprovenSince;
 }
 
 bool LinkProbe::isSilent() const
@@ -27,21 +27,22 @@
     return m_missed > 0;
 }
 
-LinkProbeStep LinkProbe::next(TimePoint heardAt, bool working, TimePoint now)
+LinkProbeStep LinkProbe::next(TimePoint lastReceivedAt, bool awaitingAnswer, TimePoint now)
 {
-    const bool isAnswered = heardAt >= m_pingAt;
+    const bool isAnswered = lastReceivedAt >= m_lastPingAt;
     if (isAnswered) {
         m_missed = 0;
     }
-    if (!working && !isUnproven(heardAt)) {
+    if (!awaitingAnswer && !isUnproven(lastReceivedAt)) {
         m_missed = 0;
         return LinkProbeStep::Wait;
     }
-    const milliseconds quiet = working ? m_options.quietInterval : m_options.messageInterval;
-    const bool isQuiet = now - std::max(heardAt, m_pingAt) >= quiet;
-    const bool isRepeated = now - m_pingAt >= m_options.pingInterval;
-    // Messages alone are worth one answered probe an interval, however many they are.
-    const bool isDue = working || !isAnswered ? isQuiet || isRepeated : isQuiet && isRepeated;
+    const milliseconds quiet = awaitingAnswer ? m_options.quietInterval : m_options.messageInterval;
+    const bool isQuiet = now - std::max(lastReceivedAt, m_lastPingAt) >= quiet;
+    const bool isRepeated = now - m_lastPingAt >= m_options.pingInterval;
+    // Messages without an answer cause at most one answered probe per interval, however many they
+    // are.
+    const bool isDue = awaitingAnswer || !isAnswered ? isQuiet || isRepeated : isQuiet && isRepeated;
     if (!isDue) {
         return LinkProbeStep::Wait;
     }
@@ -49,7 +50,7 @@
     if (m_missed >= m_options.mostMissed) {
         return LinkProbeStep::GiveUp;
     }
-    m_pingAt = now;
+    m_lastPingAt = now;
     return LinkProbeStep::Ping;
 }
 
--- a/src/core/fleet/partitiondetector.cpp
+++ b/src/core/fleet/partitiondetector.cpp
@@ -1,4 +1,4 @@
-// Whether this host is on the losing side of a network partition.
+// Detection of network partitions and moves of callers.
 
 #include "egrettide/core/partitiondetector.h"
 
@@ -18,23 +18,23 @@
         return;
     }
     if (!looksCutOff(reach)) {
-        mend();
+        clearSuspicion();
         return;
     }
-    m_lost = std::max(m_lost, reach.lost);
-    m_lostElsewhere = std::max(m_lostElsewhere, reach.lostElsewhere);
+    m_maxLost = std::max(m_maxLost, reach.lost);
+    m_maxLostElsewhere = std::max(m_maxLostElsewhere, reach.lostElsewhere);
     if (!m_suspected) {
         m_suspected = true;
-        m_askAt = now;
+        m_nextStoreQueryAt = now;
     }
 }
 
-// No host of another zone answers, or fewer hosts than were lost. While the partition
-// lasts its losses count, however long ago they were.
+// No host of another zone answers, or fewer hosts are left than were lost. While the partition
+// lasts its losses count, however long ago they occurred.
 bool PartitionDetector::looksCutOff(const HostReach &reach) const
 {
-    const bool zoneAlone = reach.liveElsewhere == 0 && std::max(m_lostElsewhere, reach.lostElsewhere) > 0;
-    const bool minority = reach.live + 1 < std::max(m_lost, reach.lost);
+    const bool zoneAlone = reach.liveElsewhere == 0 && std::max(m_maxLostElsewhere, reach.lostElsewhere) > 0;
+    const bool minority = reach.live + 1 < std::max(m_maxLost, reach.lost);
     return zoneAlone || minority;
 }
 
@@ -43,84 +43,84 @@
     if (!m_suspected) {
         return;
     }
-    m_askAt = now + m_options.askAgain;
-    m_silentAt = TimePoint::max();
+    m_nextStoreQueryAt = now + m_options.askAgain;
+    m_storeTimeoutAt = TimePoint::max();
     if (answered) {
-        // The others are gone, and this host is what is left.
-        reconnect();
+        // The store answers, so this host is on the surviving side.
+        clearCutOff();
     } else {
-        holdForCutOff(now);
+        markCutOff(now);
     }
 }
 
 void PartitionDetector::onReadinessTold(bool ready, TimePoint now)
 {
     if (ready || !m_cutOff) {
-        m_misses = 0;
+        m_notReadyAnswers = 0;
         return;
     }
-    ++m_misses;
-    if (m_misses == m_options.balancerMisses) {
-        m_moveAt = std::min(m_moveAt, now + m_options.missSettles);
+    ++m_notReadyAnswers;
+    if (m_notReadyAnswers == m_options.balancerMisses) {
+        m_nextMoveAt = std::min(m_nextMoveAt, now + m_options.balancerDecisionTime);
     }
 }
 
 void PartitionDetector::onTimer(TimePoint now)
 {
-    if (now >= m_silentAt) {
-        m_silentAt = TimePoint::max();
-        holdForCutOff(now);
+    if (now >= m_storeTimeoutAt) {
+        m_storeTimeoutAt = TimePoint::max();
+        markCutOff(now);
     }
 }
 
-void PartitionDetector::holdForCutOff(TimePoint now)
+void PartitionDetector::markCutOff(TimePoint now)
 {
     if (std::exchange(m_cutOff, true)) {
         return;
     }
-    m_misses = 0;
-    m_moveAt = now + m_options.balancerNotice;
+    m_notReadyAnswers = 0;
+    m_nextMoveAt = now + m_options.balancerNotice;
     m_moveSpacing = m_options.firstMoveSpacing;
 }
 
-void PartitionDetector::reconnect()
+void PartitionDetector::clearCutOff()
 {
     m_cutOff = false;
-    m_moveAt = TimePoint::max();
+    m_nextMoveAt = TimePoint::max();
 }
 
-void PartitionDetector::mend()
+void PartitionDetector::clearSuspicion()
 {
-    reconnect();
-    m_lost = 0;
-    m_lostElsewhere = 0;
+    clearCutOff();
+    m_maxLost = 0;
+    m_maxLostElsewhere = 0;
     m_suspected = false;
-    m_askAt = TimePoint::max();
-    m_silentAt = TimePoint::max();
+    m_nextStoreQueryAt = TimePoint::max();
+    m_storeTimeoutAt = TimePoint::max();
 }
 
 TimePoint PartitionDetector::nextEventAt() const
 {
-    return std::min({m_askAt, m_silentAt, m_moveAt});
+    return std::min({m_nextStoreQueryAt, m_storeTimeoutAt, m_nextMoveAt});
 }
 
 bool PartitionDetector::asksStore(TimePoint now)
 {
-    if (now < m_askAt) {
+    if (now < m_nextStoreQueryAt) {
         return false;
     }
-    m_askAt = TimePoint::max();
-    m_silentAt = now + m_options.storePatience;
+    m_nextStoreQueryAt = TimePoint::max();
+    m_storeTimeoutAt = now + m_options.storePatience;
     return true;
 }
 
 bool PartitionDetector::movesCallers(TimePoint now)
 {
-    if (now < m_moveAt) {
+    if (now < m_nextMoveAt) {
         return false;
     }
-    m_moveAt = now + m_moveSpacing;
-    m_moveSpacing = std::min(m_moveSpacing * 2, m_options.longestMoveSpacing);
+    m_nextMoveAt = now + m_moveSpacing;
+    m_moveSpacing = std::min(m_moveSpacing * 2, m_options.maxMoveSpacing);
     return true;
 }
 
--- a/src/core/fleet/placement.cpp
+++ b/src/core/fleet/placement.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-// Fixed for all time, like the hash itself: hosts of different releases have to
-// agree on every home during an upgrade.
+// Must never change, like the hash itself: hosts of different releases have to agree on every home
+// during an upgrade.
 constexpr std::uint64_t keySeed = 0x6567726574746964;
 
 struct KeyedUpstream {
@@ -26,7 +26,7 @@
     std::string name;
 };
 
-// The upstreams of one zone, in the order in which they choose.
+// The upstreams of each zone, in the order of their assignment.
 using ZoneUpstreams = std::map<std::string, std::vector<KeyedUpstream>, std::less<>>;
 
 ZoneUpstreams byZone(const std::vector<PlacementUpstream> &upstreams)
@@ -35,7 +35,7 @@
     for (const PlacementUpstream &upstream : upstreams) {
         zones[upstream.zone].push_back(KeyedUpstream{placementKey(upstream.name), upstream.name});
     }
-    // By key and not by name: no host's share may depend on how upstreams are named.
+    // Sorted by key, not by name, so that no host's share depends on how upstreams are named.
     for (auto &[zone, members] : zones) {
         std::sort(members.begin(), members.end(), [](const KeyedUpstream &a, const KeyedUpstream &b) {
             return std::tie(a.key, a.name) < std::tie(b.key, b.name);
@@ -77,8 +77,8 @@
     }
 }
 
-// The hosts among which a zone's upstreams choose. Leaving hosts come last, after
-// hosts of other zones: what they took would move again at once.
+// The hosts among which a zone's upstreams are distributed. Leaving hosts come after hosts of other
+// zones, since upstreams placed on them would move again at once.
 std::vector<std::size_t> Placement::candidatesFor(std::string_view zone) const
 {
     const auto select = [this](const auto &accepts) {
@@ -103,8 +103,8 @@
     return candidates;
 }
 
-// The best host below the bound, or the best of all when none is: an upstream
-// without a home would be worse than a crowded one.
+// The best host below the bound, or the best of all when there is none: an upstream without a home
+// is worse than an overloaded host.
 std::size_t Placement::choose(const std::vector<std::size_t> &candidates, std::uint64_t upstreamKey,
                               const std::vector<std::size_t> &loads, std::size_t bound) const
 {
@@ -113,7 +113,7 @@
     for (const std::size_t candidate : candidates) {
         const bool hasRoom = bound == 0 || loads[candidate] < bound;
         const std::pair<bool, std::uint64_t> rank{hasRoom, rendezvousScore(m_hostKeys[candidate], upstreamKey)};
-        // Ties go to the first name, on every host alike.
+        // Ties go to the first name, so that all hosts resolve them alike.
         if (rank > bestRank) {
             best = candidate;
             bestRank = rank;
@@ -135,18 +135,19 @@
             m_homes.insert_or_assign(upstream.name, host);
         }
     };
-    // Zones that have hosts come first; what is left then fills up the others.
-    std::vector<std::pair<const std::vector<KeyedUpstream> *, std::vector<std::size_t>>> homeless;
+    // Zones that have hosts are assigned first; upstreams of the other zones then use the remaining
+    // room.
+    std::vector<std::pair<const std::vector<KeyedUpstream> *, std::vector<std::size_t>>> zonesWithoutHosts;
     const ZoneUpstreams zones = byZone(upstreams);
     for (const auto &[zone, members] : zones) {
         auto candidates = candidatesFor(zone);
         if (m_hosts[candidates.front()].zone != zone) {
-            homeless.emplace_back(&members, std::move(candidates));
+            zonesWithoutHosts.emplace_back(&members, std::move(candidates));
         } else {
             assignZone(members, candidates, members.size());
         }
     }
-    for (const auto &[members, candidates] : homeless) {
+    for (const auto &[members, candidates] : zonesWithoutHosts) {
         assignZone(*members, candidates, upstreams.size());
     }
 }
--- a/tests/core/joingate_test.cpp
+++ b/tests/core/joingate_test.cpp
@@ -1,4 +1,4 @@
-// When a host that has just started may become the home of upstreams.
+// Tests of the join decision of a host that has just started.
 
 #define BOOST_TEST_MODULE JoinGate
 #include <boost/test/unit_test.hpp>
@@ -17,11 +17,11 @@
 
 constexpr TimePoint start{seconds{1000}};
 
-MembershipView viewOf(const std::vector<std::string> &zoneMates, bool trusted, const std::vector<std::string> &others = {})
+MembershipView viewOf(const std::vector<std::string> &zoneHosts, bool trusted, const std::vector<std::string> &others = {})
 {
     MembershipView view;
     view.trusted = trusted;
-    for (const std::string &name : zoneMates) {
+    for (const std::string &name : zoneHosts) {
         view.hosts.push_back(HostRecord{name, "here", "10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3"});
     }
     for (const std::string &name : others) {
@@ -39,14 +39,14 @@
 
 BOOST_AUTO_TEST_SUITE(JoinGateOfAHost)
 
-BOOST_AUTO_TEST_CASE(JoinsAtTheBoundWhenNobodyAnswers)
+BOOST_AUTO_TEST_CASE(JoinsAtTheBoundWithoutAnyAnswer)
 {
     const JoinOptions options;
     const JoinGate gate("here", options, start);
-    BOOST_TEST(sinceStart(gate.joinsAt()).count() == options.bound.count(), "a host alone has to serve what it can");
+    BOOST_TEST(sinceStart(gate.joinsAt()).count() == options.bound.count(), "a host without peers has to join at the bound");
 }
 
-BOOST_AUTO_TEST_CASE(JoinsAtOnceWhenItsZoneIsMet)
+BOOST_AUTO_TEST_CASE(JoinsAtOnceWhenItsZoneIsDiscovered)
 {
     JoinGate gate("here", JoinOptions{}, start);
     const TimePoint met = start + milliseconds{40};
@@ -54,10 +54,10 @@
     BOOST_TEST(sinceStart(gate.joinsAt()).count() == 40, "joins " << sinceStart(gate.joinsAt()).count() << " ms after its start");
 }
 
-// Symptom: after a restart of a large fleet homes are taken only at the bound.
-// Sequence: hosts of all zones become known one by one; every one put off the joining.
-// Cause: hosts of other zones were waited for, on which no home of this zone depends.
-BOOST_AUTO_TEST_CASE(IsNotPutOffByHostsOfOtherZones)
+// Waiting also for hosts of other zones, on which no home of this zone depends, would delay all
+// joins to the bound after a restart of a large fleet, as hosts of all zones become known one by
+// one.
+BOOST_AUTO_TEST_CASE(IsNotDelayedByHostsOfOtherZones)
 {
     const JoinOptions options;
     JoinGate gate("here", options, start);
@@ -66,7 +66,8 @@
     gate.onView(viewOf({"a", "b"}, true, {"c"}), false, start + milliseconds{200});
     BOOST_TEST(sinceStart(gate.joinsAt()).count() == sinceStart(joins).count());
     gate.onView(viewOf({"a", "b", "d"}, true, {"c"}), false, start + milliseconds{200});
-    BOOST_TEST(sinceStart(gate.joinsAt()).count() == 200 + options.settleTime.count(), "a new zone mate has to put it off");
+    BOOST_TEST(sinceStart(gate.joinsAt()).count() == 200 + options.settleTime.count(),
+               "a new host of the zone has to delay the join");
 }
 
 BOOST_AUTO_TEST_CASE(DoesNotJoinOnAViewThatIsNotTrusted)
@@ -85,8 +86,8 @@
         TimePoint now = start;
         for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400))) {
             now += milliseconds{step};
-            std::vector<std::string> mates(static_cast<std::size_t>(step % 5), "host");
-            gate.onView(viewOf(mates, step % 2 == 0), step % 7 == 0, now);
+            std::vector<std::string> zoneHosts(static_cast<std::size_t>(step % 5), "host");
+            gate.onView(viewOf(zoneHosts, step % 2 == 0), step % 7 == 0, now);
             RC_ASSERT(gate.joinsAt() <= start + options.bound);
         }
     }));
--- a/tests/core/linkprobe_test.cpp
+++ b/tests/core/linkprobe_test.cpp
@@ -1,4 +1,4 @@
-// When a connection is probed, and when it counts as lost.
+// Tests of when a connection is probed and when it counts as lost.
 
 #define BOOST_TEST_MODULE LinkProbe
 #include <boost/test/unit_test.hpp>
@@ -12,11 +12,11 @@
 
 const TimePoint begin = TimePoint(std::chrono::hours(1));
 
-// One end of a connection, looked at every 20 ms.
+// One end of a connection, checked every 20 ms.
 struct Connection {
     LinkProbe probe;
     TimePoint now = begin;
-    TimePoint heardAt = begin;
+    TimePoint lastReceivedAt = begin;
     // Whether the other side answers probes.
     bool answers = true;
     bool isWorking = false;
@@ -26,11 +26,11 @@
     void run(milliseconds duration)
     {
         for (const TimePoint end = now + duration; now < end && !isLost; now += milliseconds{20}) {
-            const LinkProbeStep step = probe.next(heardAt, isWorking, now);
+            const LinkProbeStep step = probe.next(lastReceivedAt, isWorking, now);
             isLost = step == LinkProbeStep::GiveUp;
             pings += step == LinkProbeStep::Ping ? 1 : 0;
             if (step == LinkProbeStep::Ping && answers) {
-                heardAt = now;
+                lastReceivedAt = now;
             }
         }
     }
@@ -49,8 +49,9 @@
     BOOST_TEST(!connection.isLost);
 }
 
-// Guards against news that is lost on a dead connection for as long as the operating system takes.
-BOOST_AUTO_TEST_CASE(AreLostSoonAfterAMessageThatNothingFollows)
+// Guards against messages being lost on a dead connection until the operating system reports the
+// failure.
+BOOST_AUTO_TEST_CASE(AreLostSoonAfterAMessageWithoutAnyReceivedByte)
 {
     Connection connection;
     connection.answers = false;
@@ -71,7 +72,7 @@
 }
 
 // Guards against probes that cost as much as the messages themselves.
-BOOST_AUTO_TEST_CASE(AreProbedOnceAnIntervalHoweverManyMessagesGo)
+BOOST_AUTO_TEST_CASE(AreProbedOncePerIntervalHoweverManyMessagesAreSent)
 {
     Connection connection;
     for (int i = 0; i < 500; ++i) {
@@ -82,7 +83,7 @@
     BOOST_TEST(connection.pings <= most, connection.pings << " probes in ten seconds");
 }
 
-BOOST_AUTO_TEST_CASE(AreProbedUntilTheAnswerThatSomebodyWaitsFor)
+BOOST_AUTO_TEST_CASE(AreProbedWhileARequestWaitsForItsAnswer)
 {
     Connection connection;
     connection.answers = false;
@@ -91,7 +92,7 @@
     BOOST_TEST(connection.isLost);
 }
 
-// A process that was paused for long has looked at nothing meanwhile.
+// A process that was paused has checked nothing in the meantime.
 BOOST_AUTO_TEST_CASE(AreNotLostByAPauseOfTheirOwnProcess)
 {
     Connection connection;
--- a/tests/core/partitiondetector_test.cpp
+++ b/tests/core/partitiondetector_test.cpp
@@ -1,4 +1,4 @@
-// When a host holds itself for cut off, and when it moves its callers.
+// Tests of when a host is considered cut off and when it moves its callers.
 
 #define BOOST_TEST_MODULE PartitionDetector
 #include <boost/test/unit_test.hpp>
@@ -21,7 +21,7 @@
     return start + milliseconds{ms};
 }
 
-// Three zones of three hosts, as one of them sees them.
+// Three zones of three hosts, as seen by one of the hosts.
 constexpr HostReach whole{8, 0, 6, 0};
 constexpr HostReach otherZonesLost{2, 6, 0, 6};
 
@@ -33,7 +33,7 @@
     return options;
 }
 
-// A detector that has lost the other zones and asked the store at `at(0)`.
+// A detector that has lost the other zones and queried the store at `at(0)`.
 PartitionDetector suspicious()
 {
     PartitionDetector detector(options());
@@ -43,7 +43,7 @@
     return detector;
 }
 
-// A detector that holds itself for cut off since `at(150)`.
+// A detector that is considered cut off since `at(150)`.
 PartitionDetector cutOff()
 {
     PartitionDetector detector = suspicious();
@@ -56,29 +56,28 @@
 
 BOOST_AUTO_TEST_SUITE(PartitionOfAHost)
 
-// Symptom: two zones lose power, and the third one turns its callers away as well.
-// Sequence: no host of another zone answers any more; the store does.
-// Cause: who sees nobody took itself for the one that was cut off.
+// When two zones lose power, the hosts of the third receive no answer from other zones but the
+// store answers. They are the surviving side and must keep their callers.
 BOOST_AUTO_TEST_CASE(IsNoneWhileTheStoreAnswers)
 {
     PartitionDetector detector = suspicious();
     detector.onStoreAnswer(true, at(4));
     detector.onTimer(at(150));
     BOOST_TEST(!detector.isCutOff());
-    BOOST_TEST(!detector.movesCallers(at(60'000)), "callers of the zone that is left were sent away");
+    BOOST_TEST(!detector.movesCallers(at(60'000)), "callers of the surviving zone were moved");
     BOOST_TEST(detector.asksStore(at(1004)), "the store may be lost later, so it is asked again");
 }
 
-BOOST_AUTO_TEST_CASE(IsBelievedWhenTheStoreIsSilentToo)
+BOOST_AUTO_TEST_CASE(IsConfirmedWhenTheStoreIsSilentToo)
 {
     PartitionDetector detector = suspicious();
     BOOST_TEST(!detector.isCutOff());
-    BOOST_TEST((detector.nextEventAt() == at(150)), "the store's silence has to be noticed without another event");
+    BOOST_TEST((detector.nextEventAt() == at(150)), "the store's timeout has to be detected without another event");
     detector.onTimer(at(150));
     BOOST_TEST(detector.isCutOff());
 }
 
-// A store that is slow answers in a quarter of a second.
+// A slow store answers in 0.25 s.
 BOOST_AUTO_TEST_CASE(IsTakenBackWhenTheStoreAnswersLate)
 {
     PartitionDetector detector = cutOff();
@@ -98,7 +97,7 @@
     BOOST_TEST(detector.isSuspected(), "one host of another zone does not make a majority");
 }
 
-BOOST_AUTO_TEST_CASE(IsNoneForAHostThatHasMetNobody)
+BOOST_AUTO_TEST_CASE(IsNoneForAHostThatKnowsNoOther)
 {
     PartitionDetector detector(options());
     detector.onReach({0, 0, 0, 0}, at(0));
@@ -106,12 +105,12 @@
     BOOST_TEST(!detector.isSuspected());
 }
 
-// Losses older than the window count nowhere any more, and nobody has come back.
-BOOST_AUTO_TEST_CASE(LastsHoweverLongItLasts)
+// Losses older than the window are no longer counted, but no host has come back.
+BOOST_AUTO_TEST_CASE(LastsBeyondTheLossWindow)
 {
     PartitionDetector detector = cutOff();
     detector.onReach({2, 0, 0, 0}, at(60'000));
-    BOOST_TEST(detector.isCutOff(), "a long partition was taken for its end");
+    BOOST_TEST(detector.isCutOff(), "a long partition was considered over");
 }
 
 BOOST_AUTO_TEST_CASE(EndsWhenTheOthersAnswerAgain)
@@ -119,7 +118,7 @@
     PartitionDetector detector = cutOff();
     detector.onReach({5, 3, 3, 3}, at(5000));
     BOOST_TEST(!detector.isCutOff());
-    BOOST_TEST((detector.nextEventAt() == TimePoint::max()), "a partition that is over leaves something to do");
+    BOOST_TEST((detector.nextEventAt() == TimePoint::max()), "an event is due after the end of the partition");
 }
 
 BOOST_AUTO_TEST_CASE(MovesCallersOnceTheBalancerHasBeenToldTwice)
@@ -133,18 +132,17 @@
 }
 
 // The balancer may not reach the host either.
-BOOST_AUTO_TEST_CASE(MovesCallersAfterTheNoticeWhenNobodyAsks)
+BOOST_AUTO_TEST_CASE(MovesCallersAfterTheNoticeWithoutProbes)
 {
     PartitionDetector detector = cutOff();
     BOOST_TEST(!detector.movesCallers(at(2449)));
     BOOST_TEST(detector.movesCallers(at(2450)));
 }
 
-// Symptom: callers of a zone that is cut off reconnect to it and stay there.
-// Sequence: one host of the zone finds out late; until then it counts as ready, and the
-// balancer sends the zone's callers to all of its hosts.
-// Cause: callers were moved once.
-BOOST_AUTO_TEST_CASE(MovesCallersAgainMoreAndMoreSeldom)
+// Callers have to be moved repeatedly: while one host of a cut-off zone has not detected the
+// partition and still counts as ready, the balancer sends the zone's callers to all of its hosts,
+// and after a single move they would stay there.
+BOOST_AUTO_TEST_CASE(MovesCallersAgainAtGrowingIntervals)
 {
     PartitionDetector detector = cutOff();
     std::vector<int> moves;
@@ -166,11 +164,11 @@
     BOOST_TEST(!detector.asksStore(at(0)));
 }
 
-// Whatever is seen of the others: a host that the store answers in time is ready, and
-// moves nobody.
-BOOST_AUTO_TEST_CASE(NeverHoldsAHostForCutOffThatTheStoreAnswers)
+// Whatever the reachability of the others, a host that the store answers in time is ready and moves
+// no callers.
+BOOST_AUTO_TEST_CASE(NeverConsidersAHostCutOffThatTheStoreAnswers)
 {
-    BOOST_TEST(rc::check("a host whose store answers within the patience stays ready", [] {
+    BOOST_TEST(rc::check("a host whose store answers within the timeout stays ready", [] {
         PartitionDetector detector(options());
         TimePoint now = start;
         for (int i = 0; i < 60; ++i) {
--- a/tests/core/partitionload_test.cpp
+++ b/tests/core/partitionload_test.cpp
@@ -1,5 +1,5 @@
-// Callers of a zone that is cut off: a fleet of memberships, a balancer and sessions on a
-// simulated clock. What callers get with their hosts' decision, and without it.
+// Load test of a zone that is cut off: a fleet of memberships, a balancer and sessions on a
+// simulated clock. Compares the requests served with and without partition detection.
 
 #define BOOST_TEST_MODULE PartitionLoad
 #include <boost/test/unit_test.hpp>
@@ -24,12 +24,12 @@
 constexpr int zones = 3;
 constexpr int hosts = 9;
 constexpr int sessionsPerZone = 24;
-// Each session asks for one of as many databases as there are zones; the primary of the
-// database with the number of a zone is in that zone.
+// Each session requests one of as many databases as there are zones; the primary of a database is
+// in the zone of the same number.
 constexpr milliseconds askEvery{250};
-// The age that a read accepts: for this long a host serves what it can't confirm.
+// The age that a read accepts: for this long a host serves what it cannot confirm.
 constexpr milliseconds acceptedAge{2500};
-// Other zones have promoted a primary in place of one that is cut off.
+// Time until other zones have promoted a primary in place of one that is cut off.
 constexpr milliseconds failover{1300};
 constexpr milliseconds probeEvery{1000};
 constexpr int missesUntilOut = 2;
@@ -40,7 +40,7 @@
     std::string host;
 };
 
-// The store, the balancer and the callers around a fleet.
+// The store, the balancer and the callers of a fleet.
 class CutZone
 {
 public:
@@ -61,12 +61,12 @@
         m_fleet.runFor(seconds{3});
     }
 
-    // Cuts one zone off for `length` and gives the share of requests that were served.
+    // Cuts one zone off for `length` and returns the fraction of requests that were served.
     double play(milliseconds length)
     {
         m_cutAt = m_fleet.now();
         m_fleet.cut({GossipFleet::zoneOf(0, zones)});
-        // Probes do not come in step with the cut.
+        // Probes are not synchronized with the cut.
         TimePoint nextProbe = m_cutAt + milliseconds{std::uniform_int_distribution<int>(0, 999)(m_random)};
         TimePoint nextAsk = m_cutAt;
         while (m_fleet.now() < m_cutAt + length) {
@@ -106,7 +106,7 @@
         }
     }
 
-    // Callers reach every zone, and so does the balancer.
+    // Callers and the balancer reach every zone.
     void probe()
     {
         for (auto &[name, detector] : m_detectors) {
@@ -125,8 +125,8 @@
         }
     }
 
-    // A host of the caller's zone that counts as ready; any of them while fewer than half
-    // do; one of the others while none does.
+    // Connects to a ready host of the caller's zone; to any host of it while fewer than half are
+    // ready; to a host of another zone while none is.
     void connect(Session &session)
     {
         std::vector<std::string> own;
@@ -164,7 +164,8 @@
         const bool primaryIsCut = isCut(GossipFleet::zoneOf(database, zones));
         const bool knowsPrimary = hostIsCut == primaryIsCut || (primaryIsCut && since >= failover);
         if (hostIsCut && primaryIsCut) {
-            // The old primary, until it is replaced; what it shows is confirmed by nobody else.
+            // Served by the old primary until it is replaced; after that, only reads within the
+            // accepted age.
             return since < failover || (!writes && since < failover + acceptedAge);
         }
         return knowsPrimary || (!writes && since < acceptedAge);
@@ -194,12 +195,12 @@
 
 BOOST_AUTO_TEST_SUITE(CallersOfAZoneThatIsCutOff)
 
-// Symptom: callers of one zone are refused for as long as it is cut off, although hosts
-// that could serve them are ready.
-// Sequence: a zone of three is cut off from the others and the store for 6 s; callers
-// and the balancer reach it all the while.
-// Cause: its hosts count as ready, and sessions stay where they are.
-// Share of all requests served over the 6 s, 20 seeds: 0.789 without the decision, 0.943 with it.
+// Without the detection, callers of a zone that is cut off are refused as long as the cut lasts,
+// although ready hosts of other zones could serve them: a zone of three hosts is cut off from the
+// others and the store for 6 s, callers and the balancer still reach it, its hosts count as ready
+// and sessions stay where they are.
+//
+// Fraction of all requests served over the 6 s, 20 seeds: 0.789 without detection, 0.943 with it.
 BOOST_AUTO_TEST_CASE(AreServedByTheOtherZones)
 {
     const double without = meanShare(false);
--- a/tests/core/placement_test.cpp
+++ b/tests/core/placement_test.cpp
@@ -1,4 +1,4 @@
-// Homes of upstreams: everybody agrees, zones stay together, little moves.
+// Tests of the homes of upstreams: all hosts agree, homes stay in their zone, and few of them move.
 
 #define BOOST_TEST_MODULE Placement
 #include <boost/test/unit_test.hpp>
@@ -102,7 +102,7 @@
     }));
 }
 
-// The expected home, spelled out naively.
+// Compares with a direct implementation of the rule.
 BOOST_AUTO_TEST_CASE(MatchesTheNaiveChoiceWithoutABound)
 {
     BOOST_TEST(rc::check("the highest score among the nearest hosts wins", [] {
@@ -129,11 +129,11 @@
         const auto exists = [&](const std::function<bool(const PlacementHost &)> &accepts) {
             return std::any_of(fleet.hosts.begin(), fleet.hosts.end(), accepts);
         };
-        const bool someoneStays = exists([](const PlacementHost &host) { return !host.leaving; });
+        const bool anyStays = exists([](const PlacementHost &host) { return !host.leaving; });
         for (const PlacementUpstream &upstream : fleet.upstreams) {
             const PlacementHost &home = hostNamed(fleet, *placement.homeOf(upstream.name, upstream.zone));
             const bool local = exists([&](const PlacementHost &host) { return !host.leaving && host.zone == upstream.zone; });
-            RC_ASSERT(home.leaving == !someoneStays);
+            RC_ASSERT(home.leaving == !anyStays);
             RC_ASSERT(!local || home.zone == upstream.zone);
         }
     }));
@@ -152,7 +152,7 @@
     }));
 }
 
-// The proof above has teeth: without the bound some host gets far too much.
+// Shows that the test above detects a missing bound.
 BOOST_AUTO_TEST_CASE(ExceedsTheBoundOnceItIsSwitchedOff)
 {
     const Fleet fleet = evenFleet(8, 64, 256);
@@ -162,10 +162,8 @@
     BOOST_TEST(unbounded > 5U, "plain hashing stayed within " << unbounded << "; the check of the bound proves nothing");
 }
 
-// Symptom: the loss of one host moves most homes, and each moved home drops its
-// open transactions.
-// Sequence: a host dies; every host computes homes anew.
-// Cause: a table that is dealt anew shifts everybody.
+// Guards against moving most homes when one host fails, as with a table that is redistributed as a
+// whole: each moved home drops its open transactions.
 BOOST_AUTO_TEST_CASE(MovesLittleWhenAHostGoes)
 {
     const Fleet fleet = evenFleet(8, 64, 256);
@@ -226,8 +224,9 @@
     BOOST_TEST(listed == fleet.upstreams.size());
 }
 
-// Homes are agreed between releases: a changed hash would split an upgrade.
-BOOST_AUTO_TEST_CASE(KeepsItsHashForAllTime)
+// Hosts of different releases agree on homes by the same hash; a changed one would split the fleet
+// during an upgrade.
+BOOST_AUTO_TEST_CASE(NeverChangesItsHash)
 {
     BOOST_TEST(placementKey("booking-1") == 11478394463039591830ULL,
                "the key of a name changed to " << placementKey("booking-1"));
