--- a/include/egrettide/core/quotabackoff.h
+++ b/include/egrettide/core/quotabackoff.h
@@ -1,8 +1,9 @@
-// How many requests of a workspace beyond its quota a host still asks the keeper about.
+// Limits how many requests of a workspace beyond its quota a host sends to the quota keeper (the
+// host that counts the workspace).
 //
-// What goes wrong without it: a workspace asks eight times its quota, each refusal makes its
-// callers ask again at once, and all of that goes to one host, whose link and processor are
-// then full of refusals; the requests of others that are counted there wait behind them.
+// When a workspace exceeds its quota eightfold, each refusal makes its callers retry at once, and
+// all of this load reaches one host. Without the limit, its link and processor fill with refusals
+// and the requests of other workspaces counted there are delayed.
 
 #pragma once
 
@@ -18,9 +19,9 @@
 {
 
 struct QuotaBackoffOptions {
-    // After a refusal this part of the requests is asked about that were before.
+    // Multiplier of the fraction of requests sent to the keeper, applied with each refusal.
     double decrease = 0.6;
-    // And this much of all more with every second.
+    // Fraction of all requests by which it recovers per second.
     double increasePerSecond = 0.5;
 };
 
@@ -30,24 +31,25 @@
 public:
     explicit QuotaBackoff(QuotaBackoffOptions options = {});
 
-    // The keeper has refused a request and said when the next one would be granted.
+    // The keeper has refused a request; `after` is when the next one would be granted.
     void refused(const std::string &workspace, milliseconds after, TimePoint now);
-    // Whether the next request is refused here, without asking: then when to come back.
+    // Returns the delay before a retry when the next request is refused locally, without asking the
+    // keeper; nullopt when the keeper is to be asked.
     std::optional<milliseconds> refusesHere(const std::string &workspace, TimePoint now);
 
 private:
-    struct Pressure {
-        // The part of the requests that the keeper is asked about, above 0 and below 1.
-        double part = 1;
-        TimePoint at;
-        // Adds up to one request that is asked about.
-        double owed = 0;
-        milliseconds after{0};
+    struct Throttle {
+        // Fraction of the requests that the keeper is asked about, above 0 and below 1.
+        double askedFraction = 1;
+        TimePoint updatedAt;
+        // Accumulates the fraction; the keeper is asked when it reaches 1.
+        double credit = 0;
+        milliseconds retryAfter{0};
     };
 
     const QuotaBackoffOptions m_options;
-    // Workspaces that were refused lately.
-    absl::flat_hash_map<std::string, Pressure> m_pressures;
+    // Workspaces with a recent refusal.
+    absl::flat_hash_map<std::string, Throttle> m_throttles;
 };
 
 } // namespace egrettide
--- a/include/egrettide/core/quotagrace.h
+++ b/include/egrettide/core/quotagrace.h
@@ -1,13 +1,12 @@
-// What a host lets through while the keeper of a workspace's quota is silent.
+// Grants a limited number of requests while the quota keeper of a workspace does not answer.
 //
-// What goes wrong without it: a zone is cut off, and for the second or two until each side has
-// a keeper of its own, every request waits for a keeper on the other side and is refused, also
-// those of workspaces that are far below their quotas.
+// Without it, when a zone is cut off, all requests are refused for the second or two until each
+// side has its own keeper, including those of workspaces far below their quotas.
 //
-// Why it keeps the quota: only workspaces that their keeper last called calm are let through,
-// and a host repeats at most what it was granted in the window before, once a window. All
-// hosts together then add no more than one calm window to what keepers grant, which is about
-// half of what the quota promises.
+// The quota still holds: only workspaces that their keeper last reported as calm are granted
+// requests, and a host repeats at most what it was granted in the preceding window, once per
+// window. All hosts together therefore add at most one calm window to what keepers grant, which is
+// about half of the quota's bound.
 
 #pragma once
 
@@ -31,28 +30,28 @@
 
     // A keeper has answered for the workspace.
     void heard(const std::string &workspace, const QuotaVerdict &verdict, TimePoint now);
-    // A keeper did not answer in time. It counts as silent until heard() is called.
+    // A keeper did not answer in time. It counts as silent until its next answer.
     void unanswered(const std::string &workspace, TimePoint now);
-    // Takes one request that may start without an answer; false when there is none left, or
-    // no silence.
+    // Consumes one request that may start without an answer. Returns false when none remains or the
+    // keeper is not silent.
     bool take(const std::string &workspace);
 
 private:
-    struct Memory {
-        // When requests were granted within the last window. Invariant: at most longestMemory.
+    struct History {
+        // Times of grants within the last window. Invariant: at most maxRememberedGrants.
         std::deque<TimePoint> granted;
         bool calm = false;
         bool silent = false;
-        // What may still be let through in this silence.
-        std::size_t left = 0;
-        // No further silence is bridged before that.
-        TimePoint nextAt = TimePoint::min();
+        // Requests that may still start during the current silence.
+        std::size_t remaining = 0;
+        // A silence that begins before this time grants nothing.
+        TimePoint nextGraceAt = TimePoint::min();
     };
 
-    void forget(Memory &memory, TimePoint now) const;
+    void prune(History &history, TimePoint now) const;
 
     const milliseconds m_window;
-    absl::flat_hash_map<std::string, Memory> m_memories;
+    absl::flat_hash_map<std::string, History> m_histories;
 };
 
 } // namespace egrettide
--- a/include/egrettide/core/quotakeeper.h
+++ b/include/egrettide/core/quotakeeper.h
@@ -1,13 +1,13 @@
-// Counts the requests of workspaces against their quotas. Each workspace is counted at one
-// host at a time, its keeper; every other host asks that one before it starts a request.
+// Counts the requests of workspaces against their quotas. Each workspace is counted by one host at
+// a time, its quota keeper; every other host asks the keeper before it starts a request. A single
+// count is needed because callers of a workspace connect through all hosts, and no host alone sees
+// that together they exceed the quota.
 //
-// What goes wrong without one count: callers of a workspace come in through all hosts, and
-// no host sees enough of them to tell that together they are beyond the quota.
-//
-// What goes wrong with one count alone: the fleet falls apart, each part finds a keeper of
-// its own, and together they let through a multiple. So a keeper hands out only the part of
-// the quota that its part of the fleet is of the whole. And a keeper that dies takes its
-// count along: the next one begins with next to nothing, since all may have just been spent.
+// When the fleet is partitioned, each partition has a keeper of its own, and together they could
+// grant a multiple of the quota. A keeper therefore grants only the fraction of the quota that
+// corresponds to its partition's fraction of the fleet. A keeper that fails takes its count along;
+// its successor starts with a small allowance, since the whole burst may have been spent just
+// before.
 
 #pragma once
 
@@ -28,8 +28,8 @@
 
 struct MembershipView;
 
-// Workspaces are dealt to this many slots, and slots to hosts, so that a host talks to at
-// most as many keepers, however many workspaces there are.
+// Workspaces are hashed to this many slots and slots to hosts, so that a host talks to at most this
+// many keepers, however many workspaces exist.
 constexpr std::size_t quotaSlots = 32;
 std::size_t quotaSlotOf(std::string_view workspace);
 
@@ -37,11 +37,11 @@
 using QuotaKeepers = std::array<std::string, quotaSlots>;
 QuotaKeepers quotaKeepersIn(const MembershipView &view);
 
-// How much of the fleet is in this view: hosts that are not dead by all hosts that are known
-// and have not left in good order; between 0 and 1.
+// The fraction of the fleet in this view, between 0 and 1: hosts that are not dead, divided by all
+// known hosts that did not leave in an orderly way.
 double partInView(const MembershipView &view);
 
-// What a quota promises: in any `window` no more than
+// The bound that a quota guarantees: in any `window` at most
 // (perSecond * window + burst) * (1 + overage) + slack requests.
 struct QuotaBounds {
     milliseconds window{5000};
@@ -49,49 +49,49 @@
     double slack = 0;
 };
 
-// Switches that take one safeguard out, so that its proof can be shown to fail. Never set in
-// production.
+// Switches that disable one safeguard each, for tests that show the failure without it. Never set
+// in production.
 struct QuotaKeeperFaults {
-    // Every part of a fleet hands out the whole quota.
-    bool ignoresParts = false;
-    // A new keeper begins with all that may be asked for at once.
-    bool beginsFull = false;
+    // Every partition of a fleet grants the whole quota.
+    bool ignoresPartitions = false;
+    // A new keeper starts with the full burst.
+    bool startsFull = false;
 };
 
 struct QuotaKeeperOptions {
     QuotaBounds bounds;
-    // The part of the bound that is handed out. The rest is for the moments in which two
-    // hosts take themselves for the keeper, since views take a second or two to agree.
-    double usedPart = 0.75;
-    // The part of that which may be asked for at once; the rest flows evenly.
-    double atOncePart = 0.2;
-    // The part of the bound that a keeper lets through at once when it has just become one.
-    double firstPart = 0.04;
-    // A request that would be granted within this time is granted and has to wait until
-    // then, while the workspace asks less than the rate on the whole. Refused, callers that
-    // come at the same moment, or all at once after an outage, would have asked in vain; but
-    // of a workspace that asks too much all the time, every request would be late.
-    milliseconds longestWait{300};
-    // A workspace is calm up to this part of the rate.
-    double calmPart = 0.8;
-    // Over how long it is seen whether a workspace asks too much.
-    milliseconds demandSpan{2000};
+    // Fraction of the bound that is granted. The rest covers the times when two hosts act as the
+    // keeper, since views take a second or two to converge.
+    double usedFraction = 0.75;
+    // Fraction of that which may be granted as a burst; the rest accrues evenly.
+    double burstFraction = 0.2;
+    // Fraction of the bound that a new keeper may grant as its first burst.
+    double initialFraction = 0.04;
+    // A request that would be granted within this time is granted with a delay, as long as the
+    // workspace's demand stays below its rate. Refusing would turn away callers that arrive
+    // simultaneously, or all at once after an outage; but for a workspace that exceeds its rate all
+    // the time, a delay would make every request late.
+    milliseconds maxWait{300};
+    // A workspace is calm while its demand is at most this fraction of the rate.
+    double calmFraction = 0.8;
+    // Time constant of the demand estimate.
+    milliseconds demandWindow{2000};
     QuotaKeeperFaults faults;
 };
 
 struct QuotaVerdict {
     enum class Kind {
         Granted,
-        // Beyond the quota.
+        // Exceeds the quota.
         Refused,
         // This host does not count the workspace; another one does.
         NotKeeper,
     };
     Kind kind = Kind::Granted;
-    // Granted: how long to wait before it starts. Refused: when the next request would be
-    // granted if nobody else asked.
+    // Granted: how long to wait before the request starts. Refused: when the next request would be
+    // granted if no other arrives.
     milliseconds after{0};
-    // True when the workspace asks clearly less than it may, on the whole.
+    // True while the workspace's demand is clearly below its rate.
     bool calm = false;
 };
 
@@ -101,12 +101,13 @@
 public:
     explicit QuotaKeeper(QuotaKeeperOptions options);
 
-    // Takes over the quotas. What was counted stays; a lower quota holds at once.
+    // Applies the quotas. Counts are kept; a lower quota takes effect at once.
     void configure(const Configuration &configuration);
-    // Takes over which slots this host keeps. What is counted anew begins empty.
-    void keep(const std::bitset<quotaSlots> &slots, double part, TimePoint now);
+    // Applies the slots that this host keeps and the fraction of the fleet in its partition. Counts
+    // of newly kept slots start with the initial allowance.
+    void keep(const std::bitset<quotaSlots> &slots, double visibleFraction, TimePoint now);
 
-    // True when requests of the workspace are counted at all.
+    // Whether requests of the workspace are counted at all.
     bool isLimited(std::string_view workspace) const;
     // Counts one request, or refuses it. Workspaces without a quota are always granted.
     QuotaVerdict ask(std::string_view workspace, TimePoint now);
@@ -114,14 +115,14 @@
 private:
     struct Allowance {
         double perSecond = 0;
-        double atOnce = 0;
-        // For a keeper that has just become one.
-        double first = 0;
+        double burst = 0;
+        // Initial tokens of a new keeper.
+        double initial = 0;
     };
     struct Bucket {
-        // Below zero while requests wait that were granted for later.
+        // Negative while requests wait that were granted with a delay.
         double tokens = 0;
-        // Requests asked for a second, smoothed.
+        // Requests per second, exponentially smoothed.
         double demand = 0;
         TimePoint at;
     };
@@ -132,10 +133,10 @@
     // Workspaces that have a quota.
     absl::flat_hash_map<std::string, Allowance> m_allowances;
     std::bitset<quotaSlots> m_kept;
-    // Since when each slot is kept here; meaningful for those in m_kept.
+    // When this host started to keep each slot; meaningful for those in m_kept.
     std::array<TimePoint, quotaSlots> m_keptSince{};
-    double m_part = 1;
-    // Invariant: of workspaces in m_allowances and slots in m_kept only.
+    double m_visibleFraction = 1;
+    // Invariant: holds only workspaces of m_allowances whose slots are in m_kept.
     absl::flat_hash_map<std::string, Bucket> m_buckets;
 };
 
--- a/src/core/fleet/quotabackoff.cpp
+++ b/src/core/fleet/quotabackoff.cpp
@@ -11,31 +11,31 @@
 
 void QuotaBackoff::refused(const std::string &workspace, milliseconds after, TimePoint now)
 {
-    Pressure &pressure = m_pressures[workspace];
-    pressure.part *= m_options.decrease;
-    pressure.at = now;
-    pressure.after = after;
+    Throttle &throttle = m_throttles[workspace];
+    throttle.askedFraction *= m_options.decrease;
+    throttle.updatedAt = now;
+    throttle.retryAfter = after;
 }
 
 std::optional<milliseconds> QuotaBackoff::refusesHere(const std::string &workspace, TimePoint now)
 {
-    const auto found = m_pressures.find(workspace);
-    if (found == m_pressures.end()) {
+    const auto found = m_throttles.find(workspace);
+    if (found == m_throttles.end()) {
         return std::nullopt;
     }
-    Pressure &pressure = found->second;
-    const double elapsed = std::chrono::duration<double>(now - pressure.at).count();
-    pressure.part += elapsed * m_options.increasePerSecond;
-    pressure.at = now;
-    if (pressure.part >= 1) {
-        m_pressures.erase(found);
+    Throttle &throttle = found->second;
+    const double elapsed = std::chrono::duration<double>(now - throttle.updatedAt).count();
+    throttle.askedFraction += elapsed * m_options.increasePerSecond;
+    throttle.updatedAt = now;
+    if (throttle.askedFraction >= 1) {
+        m_throttles.erase(found);
         return std::nullopt;
     }
-    pressure.owed += pressure.part;
-    if (pressure.owed < 1) {
-        return pressure.after;
+    throttle.credit += throttle.askedFraction;
+    if (throttle.credit < 1) {
+        return throttle.retryAfter;
     }
-    pressure.owed -= 1;
+    throttle.credit -= 1;
     return std::nullopt;
 }
 
--- a/src/core/fleet/quotagrace.cpp
+++ b/src/core/fleet/quotagrace.cpp
@@ -1,4 +1,4 @@
-// Repeats, while a keeper is silent, what it had granted before.
+// Grants during the silence of a keeper, limited by its earlier grants.
 
 #include "egrettide/core/quotagrace.h"
 
@@ -8,10 +8,10 @@
 namespace
 {
 
-// Grants of one workspace that are remembered; more are not repeated.
-constexpr std::size_t longestMemory = 256;
-// Workspaces that are remembered; beyond it, those that have not asked lately are forgotten.
-constexpr std::size_t mostWorkspaces = 2048;
+// Grants remembered per workspace; more are not repeated.
+constexpr std::size_t maxRememberedGrants = 256;
+// Workspaces above which those without a recent grant are removed.
+constexpr std::size_t maxRememberedWorkspaces = 2048;
 
 } // namespace
 
@@ -19,10 +19,11 @@
 {
 }
 
-void QuotaGrace::forget(Memory &memory, TimePoint now) const
+void QuotaGrace::prune(History &history, TimePoint now) const
 {
-    while (!memory.granted.empty() && (now - memory.granted.front() > m_window || memory.granted.size() > longestMemory)) {
-        memory.granted.pop_front();
+    while (!history.granted.empty()
+           && (now - history.granted.front() > m_window || history.granted.size() > maxRememberedGrants)) {
+        history.granted.pop_front();
     }
 }
 
@@ -31,44 +32,44 @@
     if (verdict.kind == QuotaVerdict::Kind::NotKeeper) {
         return;
     }
-    if (m_memories.size() > mostWorkspaces) {
-        absl::erase_if(m_memories, [this, now](auto &entry) {
-            forget(entry.second, now);
-            return entry.second.granted.empty() && now >= entry.second.nextAt;
+    if (m_histories.size() > maxRememberedWorkspaces) {
+        absl::erase_if(m_histories, [this, now](auto &entry) {
+            prune(entry.second, now);
+            return entry.second.granted.empty() && now >= entry.second.nextGraceAt;
         });
     }
-    Memory &memory = m_memories[workspace];
-    memory.calm = verdict.calm;
-    memory.silent = false;
+    History &history = m_histories[workspace];
+    history.calm = verdict.calm;
+    history.silent = false;
     if (verdict.kind == QuotaVerdict::Kind::Granted) {
-        memory.granted.push_back(now);
+        history.granted.push_back(now);
     }
-    forget(memory, now);
+    prune(history, now);
 }
 
 void QuotaGrace::unanswered(const std::string &workspace, TimePoint now)
 {
-    const auto found = m_memories.find(workspace);
-    if (found == m_memories.end() || found->second.silent) {
+    const auto found = m_histories.find(workspace);
+    if (found == m_histories.end() || found->second.silent) {
         return;
     }
-    Memory &memory = found->second;
-    memory.silent = true;
-    memory.left = 0;
-    if (memory.calm && now >= memory.nextAt) {
-        forget(memory, now);
-        memory.left = memory.granted.size();
-        memory.nextAt = now + m_window;
+    History &history = found->second;
+    history.silent = true;
+    history.remaining = 0;
+    if (history.calm && now >= history.nextGraceAt) {
+        prune(history, now);
+        history.remaining = history.granted.size();
+        history.nextGraceAt = now + m_window;
     }
 }
 
 bool QuotaGrace::take(const std::string &workspace)
 {
-    const auto found = m_memories.find(workspace);
-    if (found == m_memories.end() || !found->second.silent || found->second.left == 0) {
+    const auto found = m_histories.find(workspace);
+    if (found == m_histories.end() || !found->second.silent || found->second.remaining == 0) {
         return false;
     }
-    --found->second.left;
+    --found->second.remaining;
     return true;
 }
 
--- a/src/core/fleet/quotakeeper.cpp
+++ b/src/core/fleet/quotakeeper.cpp
@@ -1,4 +1,4 @@
-// Token buckets of workspaces, and who keeps them.
+// Token buckets of workspaces, and the assignment of keepers to slots.
 
 #include "egrettide/core/quotakeeper.h"
 
@@ -18,11 +18,11 @@
 
 using Seconds = std::chrono::duration<double>;
 
-// A request below this rate of arrivals would wait for longer than anybody does.
-constexpr milliseconds longestRetryAfter{30000};
+// Upper bound of a retry delay: no caller waits longer than this.
+constexpr milliseconds maxRetryAfter{30000};
 
-// There are at most eight parts of this size.
-constexpr double leastPartForOne = 0.125;
+// A fleet has at most eight partitions of this size.
+constexpr double minFractionForOneToken = 0.125;
 
 absl::string_view keyOf(std::string_view text)
 {
@@ -75,9 +75,9 @@
 {
     const double window = Seconds(m_options.bounds.window).count();
     const double bound = (quota.perSecond * window + quota.burst) * (1 + m_options.bounds.overage) + m_options.bounds.slack;
-    const double used = bound * m_options.usedPart;
-    const double atOnce = used * m_options.atOncePart;
-    return {(used - atOnce) / window, atOnce, bound * m_options.firstPart};
+    const double used = bound * m_options.usedFraction;
+    const double burst = used * m_options.burstFraction;
+    return {(used - burst) / window, burst, bound * m_options.initialFraction};
 }
 
 void QuotaKeeper::configure(const Configuration &configuration)
@@ -91,7 +91,7 @@
     absl::erase_if(m_buckets, [this](const auto &entry) { return !m_allowances.contains(entry.first); });
 }
 
-void QuotaKeeper::keep(const std::bitset<quotaSlots> &slots, double part, TimePoint now)
+void QuotaKeeper::keep(const std::bitset<quotaSlots> &slots, double visibleFraction, TimePoint now)
 {
     absl::erase_if(m_buckets, [&slots](const auto &entry) { return !slots.test(quotaSlotOf(entry.first)); });
     for (std::size_t slot = 0; slot < quotaSlots; ++slot) {
@@ -100,7 +100,7 @@
         }
     }
     m_kept = slots;
-    m_part = m_options.faults.ignoresParts ? 1 : part;
+    m_visibleFraction = m_options.faults.ignoresPartitions ? 1 : visibleFraction;
 }
 
 bool QuotaKeeper::isLimited(std::string_view workspace) const
@@ -118,29 +118,30 @@
     if (!m_kept.test(slot)) {
         return {QuotaVerdict::Kind::NotKeeper};
     }
-    const double rate = found->second.perSecond * m_part;
-    // Less than one would never let anything through. Where many small parts each let one
-    // through they would be beyond the quota together; so these let through nothing.
-    const double share = found->second.atOnce * m_part;
-    const double most = m_part >= leastPartForOne ? std::max(1.0, share) : share;
+    const double rate = found->second.perSecond * m_visibleFraction;
+    // A capacity below one token would never grant a request, so it is raised to one. Many small
+    // partitions with one token each would exceed the quota together; below the minimum fraction
+    // the capacity is not raised.
+    const double share = found->second.burst * m_visibleFraction;
+    const double capacity = m_visibleFraction >= minFractionForOneToken ? std::max(1.0, share) : share;
     const auto [place, isNew] = m_buckets.try_emplace(std::string(workspace));
     Bucket &bucket = place->second;
     if (isNew) {
-        bucket.tokens = m_options.faults.beginsFull ? most : std::min(most, found->second.first * m_part);
+        bucket.tokens = m_options.faults.startsFull ? capacity : std::min(capacity, found->second.initial * m_visibleFraction);
         bucket.at = m_keptSince[slot];
     }
-    bucket.tokens = std::min(most, bucket.tokens + rate * std::max(0.0, Seconds(now - bucket.at).count()));
-    const double span = Seconds(m_options.demandSpan).count();
+    bucket.tokens = std::min(capacity, bucket.tokens + rate * std::max(0.0, Seconds(now - bucket.at).count()));
+    const double span = Seconds(m_options.demandWindow).count();
     bucket.demand = bucket.demand * std::exp(-Seconds(now - bucket.at).count() / span) + 1 / span;
     bucket.at = now;
     bucket.tokens -= 1;
-    const bool calm = bucket.demand <= rate * m_options.calmPart;
+    const bool calm = bucket.demand <= rate * m_options.calmFraction;
     if (bucket.tokens >= 0) {
         return {QuotaVerdict::Kind::Granted, milliseconds{0}, calm};
     }
-    const Seconds wait(rate > 0 ? -bucket.tokens / rate : Seconds(longestRetryAfter).count());
-    const milliseconds after = std::chrono::ceil<milliseconds>(std::min(wait, Seconds(longestRetryAfter)));
-    if (after <= m_options.longestWait && bucket.demand <= rate) {
+    const Seconds wait(rate > 0 ? -bucket.tokens / rate : Seconds(maxRetryAfter).count());
+    const milliseconds after = std::chrono::ceil<milliseconds>(std::min(wait, Seconds(maxRetryAfter)));
+    if (after <= m_options.maxWait && bucket.demand <= rate) {
         return {QuotaVerdict::Kind::Granted, after, calm};
     }
     bucket.tokens += 1;
--- a/tests/core/quotabackoff_test.cpp
+++ b/tests/core/quotabackoff_test.cpp
@@ -1,4 +1,4 @@
-// How many requests beyond a quota a keeper is asked about.
+// Tests of how many requests beyond a quota are sent to the keeper.
 
 #define BOOST_TEST_MODULE QuotaBackoff
 #include <boost/test/unit_test.hpp>
@@ -14,8 +14,8 @@
 
 const TimePoint begin = TimePoint(std::chrono::hours(1));
 
-// Plays requests of one workspace through one host for ten seconds against a keeper that
-// grants `granted` a second, and counts those that it was asked about and those it granted.
+// Sends requests of one workspace through one host for ten seconds to a keeper that grants
+// `grantedPerSecond`, and counts those that reached it and those it granted.
 struct Load {
     int asked = 0;
     int granted = 0;
@@ -47,16 +47,14 @@
 
 BOOST_AUTO_TEST_CASE(SparesTheKeeperMostOfWhatItWouldRefuse)
 {
-    // Symptom: a hot workspace makes the requests of others wait that are counted at the
-    // same host.
-    // Sequence: it asks eight times its quota, and three times as often when it is refused.
-    // Cause: all of that was sent to the keeper.
+    // A hot workspace sends eight times its quota, and three times as much when it is refused. If
+    // all of that reached the keeper, requests of other workspaces counted there would be delayed.
     const Load load(480, 20);
     BOOST_TEST(load.asked <= 1200, "the keeper was asked about " << load.asked << " of 4800 requests");
     BOOST_TEST(load.granted >= 160, "" << load.granted << " of 200 were granted");
 }
 
-BOOST_AUTO_TEST_CASE(LeavesThoseAloneThatAreNotRefused)
+BOOST_AUTO_TEST_CASE(DoesNotAffectWorkspacesWithoutRefusals)
 {
     const Load load(50, 60);
     BOOST_TEST(load.asked == 500);
--- a/tests/core/quotafleet.h
+++ b/tests/core/quotafleet.h
@@ -1,7 +1,6 @@
-// A fleet of hosts that count one hot workspace, in simulated time: it falls apart, hosts
-// are killed and start again, and each host hears of all that a while later, each at a
-// moment of its own. Every request is granted by the keeper that its host knows, if that
-// host can be reached.
+// A fleet of hosts that count one hot workspace, in simulated time. The fleet is partitioned, hosts
+// are killed and restarted, and each host receives the resulting view with a random delay. Every
+// request is granted by the keeper in its host's view, if that host is reachable.
 
 #pragma once
 
@@ -23,17 +22,17 @@
 struct QuotaFleetOptions {
     int hosts = 12;
     RequestQuota quota{20, 20};
-    // Requests a second, as a multiple of the quota.
+    // Requests per second, as a multiple of the quota.
     double load = 8;
     QuotaBounds bounds{milliseconds{5000}, 0.1, 20};
     QuotaKeeperFaults faults;
-    // For so long the workspace asks little; then `load` comes.
+    // Duration of low demand before `load` starts.
     std::chrono::seconds calmFor{0};
-    // Whether hosts go on for a while when a keeper is silent; see QuotaGrace.
-    bool bridgesSilence = true;
-    // How late a host hears of a change, at most.
-    milliseconds newsDelay{1500};
-    // Between two events; 0 for none.
+    // Whether hosts grant requests while a keeper is silent; see QuotaGrace.
+    bool usesGrace = true;
+    // Maximum delay until a host's view reflects a change.
+    milliseconds maxViewDelay{1500};
+    // Time between two faults; 0 for none.
     milliseconds eventSpacing{3000};
     std::chrono::seconds length{30};
 };
@@ -52,14 +51,14 @@
             restart(m_hosts.back());
         }
         for (std::size_t i = 0; i < m_hosts.size(); ++i) {
-            look(i);
+            updateView(i);
         }
     }
 
-    // The moments of all granted requests.
+    // Runs the fleet and returns the times of all granted requests.
     const std::vector<TimePoint> &run()
     {
-        // What most workspaces ask most of the time.
+        // Demand of a calm workspace, as a multiple of the quota.
         constexpr double calmLoad = 0.6;
         const TimePoint begun = m_now;
         const TimePoint end = m_now + m_options.length;
@@ -69,13 +68,13 @@
         while (m_now < end) {
             m_now += step;
             if (m_options.eventSpacing.count() > 0 && m_now >= nextEvent) {
-                disturb();
+                injectFault();
                 nextEvent += m_options.eventSpacing;
             }
             for (std::size_t i = 0; i < m_hosts.size(); ++i) {
-                while (!m_hosts[i].looksAt.empty() && *m_hosts[i].looksAt.begin() <= m_now) {
-                    m_hosts[i].looksAt.erase(m_hosts[i].looksAt.begin());
-                    look(i);
+                while (!m_hosts[i].viewUpdatesAt.empty() && *m_hosts[i].viewUpdatesAt.begin() <= m_now) {
+                    m_hosts[i].viewUpdatesAt.erase(m_hosts[i].viewUpdatesAt.begin());
+                    updateView(i);
                 }
             }
             const double load = m_now < begun + m_options.calmFor ? calmLoad : m_options.load;
@@ -87,8 +86,8 @@
         return m_granted;
     }
 
-    // The most that were granted within one window.
-    std::size_t mostInAWindow() const
+    // Maximum number of grants within one window.
+    std::size_t maxGrantedInWindow() const
     {
         std::size_t most = 0;
         std::size_t first = 0;
@@ -112,10 +111,10 @@
     struct Host {
         std::unique_ptr<QuotaKeeper> keeper;
         std::unique_ptr<QuotaGrace> grace;
-        int part = 0;
+        int partition = 0;
         TimePoint deadUntil = TimePoint::min();
-        // When it hears how things stand.
-        std::set<TimePoint> looksAt;
+        // When the host's view is updated.
+        std::set<TimePoint> viewUpdatesAt;
         QuotaKeepers keepers;
     };
 
@@ -141,10 +140,10 @@
 
     bool reaches(const Host &from, const Host &to) const
     {
-        return !isDead(to) && from.part == to.part;
+        return !isDead(to) && from.partition == to.partition;
     }
 
-    void look(std::size_t index)
+    void updateView(std::size_t index)
     {
         Host &host = m_hosts[index];
         if (isDead(host)) {
@@ -165,34 +164,35 @@
         host.keeper->keep(kept, partInView(view), m_now);
     }
 
-    // One of: a cut into two parts, single hosts cut off, an end of all cuts, kills.
-    void disturb()
+    // Injects one of: a cut into two partitions, cuts of single hosts, the end of all cuts, kills.
+    void injectFault()
     {
         const int kind = static_cast<int>(m_random() % 4);
         const double share = std::uniform_real_distribution<double>(0.1, 0.6)(m_random);
-        int lonely = 1;
+        int lastPartition = 1;
         for (Host &host : m_hosts) {
             const bool hit = std::uniform_real_distribution<double>(0, 1)(m_random) < share;
             if (kind == 0) {
-                host.part = hit ? 1 : 0;
+                host.partition = hit ? 1 : 0;
             } else if (kind == 1) {
-                host.part = hit ? ++lonely : 0;
+                host.partition = hit ? ++lastPartition : 0;
             } else if (kind == 2) {
-                host.part = 0;
+                host.partition = 0;
             } else if (hit) {
                 host.deadUntil = m_now + milliseconds(500 + m_random() % 1500);
                 restart(host);
-                spreadNews(host.deadUntil);
+                scheduleViewUpdates(host.deadUntil);
             }
         }
-        spreadNews(m_now);
+        scheduleViewUpdates(m_now);
     }
 
-    // Each host hears of what happens then at a moment of its own.
-    void spreadNews(TimePoint happens)
+    // Schedules an update of each host's view, with a random delay after the event.
+    void scheduleViewUpdates(TimePoint happens)
     {
         for (Host &host : m_hosts) {
-            host.looksAt.insert(happens + milliseconds(m_random() % static_cast<std::uint64_t>(m_options.newsDelay.count())));
+            host.viewUpdatesAt.insert(happens
+                                      + milliseconds(m_random() % static_cast<std::uint64_t>(m_options.maxViewDelay.count())));
         }
     }
 
@@ -215,7 +215,7 @@
             return;
         }
         host.grace->unanswered("hot", m_now);
-        if (m_options.bridgesSilence && host.grace->take("hot")) {
+        if (m_options.usesGrace && host.grace->take("hot")) {
             m_granted.push_back(m_now);
         }
     }
--- a/tests/core/quotagrace_test.cpp
+++ b/tests/core/quotagrace_test.cpp
@@ -1,4 +1,4 @@
-// What is let through while the keeper of a quota is silent.
+// Tests of what may start while the keeper of a quota is silent.
 
 #define BOOST_TEST_MODULE QuotaGrace
 #include <boost/test/unit_test.hpp>
@@ -33,12 +33,12 @@
     for (int i = 0; i < 8; ++i) {
         grace.heard("desk", calmGrant, begin + std::chrono::seconds(i));
     }
-    BOOST_TEST(taken(grace) == 0, "something was let through although the keeper answers");
+    BOOST_TEST(taken(grace) == 0, "a request was granted although the keeper answers");
     grace.unanswered("desk", begin + std::chrono::seconds(8));
     BOOST_TEST(taken(grace) == 5);
 }
 
-BOOST_AUTO_TEST_CASE(GiveNothingToThoseThatAskTooMuchOrAreNotKnown)
+BOOST_AUTO_TEST_CASE(GrantNothingToHotOrUnknownWorkspaces)
 {
     QuotaGrace grace(milliseconds{5000});
     grace.unanswered("desk", begin);
@@ -49,11 +49,10 @@
     BOOST_TEST(taken(grace) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(BridgeOneSilenceAWindow)
+BOOST_AUTO_TEST_CASE(GrantInOneSilencePerWindow)
 {
-    // Symptom: a workspace gets a multiple of its quota while the links of a host flap.
-    // Sequence: a keeper falls silent, answers once, falls silent again, and so on.
-    // Cause: every silence was bridged anew.
+    // When a host's links flap, a keeper falls silent and answers again many times. Granting
+    // requests anew in every silence would give a workspace a multiple of its quota.
     QuotaGrace grace(milliseconds{5000});
     grace.heard("desk", calmGrant, begin);
     int all = 0;
--- a/tests/core/quotakeeper_test.cpp
+++ b/tests/core/quotakeeper_test.cpp
@@ -1,4 +1,4 @@
-// Quotas of workspaces over a whole fleet.
+// Tests of the quotas of workspaces over a whole fleet.
 
 #define BOOST_TEST_MODULE QuotaKeeper
 #include <boost/test/unit_test.hpp>
@@ -46,13 +46,13 @@
     return granted;
 }
 
-// Whether a fleet kept the bound over some schedules.
+// Whether a fleet keeps the bound over several fault schedules.
 bool keepsTheBound(const QuotaFleetOptions &options, int schedules)
 {
     for (int seed = 1; seed <= schedules; ++seed) {
         QuotaFleet fleet(options, static_cast<std::uint64_t>(seed));
         fleet.run();
-        if (static_cast<double>(fleet.mostInAWindow()) > fleet.bound()) {
+        if (static_cast<double>(fleet.maxGrantedInWindow()) > fleet.bound()) {
             return false;
         }
     }
@@ -74,7 +74,7 @@
 
 BOOST_AUTO_TEST_CASE(GrantSteadyUseUpToFourFifthsOfTheRate)
 {
-    // What is left of the rate is for the moments in which two hosts count.
+    // The rest of the rate covers the times when two hosts count.
     QuotaKeeper keeper = keeperOfAll({50, 50});
     for (int i = 0; i < 1000; ++i) {
         const TimePoint now = begin + milliseconds(1000 + 25 * i);
@@ -86,10 +86,9 @@
 
 BOOST_AUTO_TEST_CASE(GrantForLaterWhatComesAtOneMoment)
 {
-    // Symptom: a workspace well below its quota has requests refused.
-    // Sequence: several of its callers come at the same moment, just after a keeper has
-    // begun or when all that may be asked for at once is spent.
-    // Cause: what would be granted some milliseconds later was refused.
+    // Several callers of a workspace well below its quota may arrive at the same moment, just after
+    // a keeper has started or when the burst is spent. Requests that would be granted milliseconds
+    // later must not be refused.
     QuotaKeeper keeper = keeperOfAll({50, 50});
     const TimePoint now = begin + std::chrono::seconds(10);
     milliseconds last{0};
@@ -106,11 +105,10 @@
     BOOST_TEST(later >= 5);
 }
 
-BOOST_AUTO_TEST_CASE(RefuseAtOnceWhoeverAsksTooMuchAllTheTime)
+BOOST_AUTO_TEST_CASE(RefuseAtOnceUnderSustainedExcess)
 {
-    // Symptom: of a workspace beyond its quota, also what it does get comes late.
-    // Sequence: it asks four times its rate for seconds.
-    // Cause: each request was granted for later, so that a queue stood all the time.
+    // A workspace demands four times its rate for seconds. Granting its requests with a delay would
+    // build a standing queue, and the requests that it is granted would all be late.
     QuotaKeeper keeper = keeperOfAll({50, 50});
     int late = 0;
     for (int i = 0; i < 2000; ++i) {
@@ -122,7 +120,7 @@
     BOOST_TEST(late == 0);
 }
 
-BOOST_AUTO_TEST_CASE(SayTrulyWhenToComeBack)
+BOOST_AUTO_TEST_CASE(ReturnAnAccurateRetryDelay)
 {
     QuotaKeeper keeper = keeperOfAll({50, 50});
     TimePoint now = begin + std::chrono::seconds(10);
@@ -134,24 +132,22 @@
     BOOST_TEST((keeper.ask("limited", now).kind == QuotaVerdict::Kind::Granted));
 }
 
-BOOST_AUTO_TEST_CASE(BeginWithNextToNothing)
+BOOST_AUTO_TEST_CASE(StartWithASmallAllowance)
 {
-    // Symptom: a workspace gets twice its quota around a kill.
-    // Sequence: the keeper has just granted all that may be asked for at once, and is
-    // killed; the next keeper grants as much again.
-    // Cause: a new keeper took what it knows nothing of for nothing.
+    // A keeper that has just granted the whole burst is killed. If its successor granted a full
+    // burst as well, the workspace would get twice its quota.
     QuotaKeeper keeper = keeperOfAll({100, 100});
     // A fifth of (5 x 100 + 100) x 1.1 + 20.
     constexpr int few = 136;
     BOOST_TEST(grantedOf(keeper, 1000, begin) <= few);
-    // The same when a slot comes back to a host that had it before.
+    // The same when a slot returns to a host that kept it before.
     grantedOf(keeper, 1000, begin + std::chrono::seconds(10));
     keeper.keep({}, 1, begin + std::chrono::seconds(20));
     keeper.keep(std::bitset<quotaSlots>().set(), 1, begin + std::chrono::seconds(30));
     BOOST_TEST(grantedOf(keeper, 1000, begin + std::chrono::seconds(30)) <= few);
 }
 
-BOOST_AUTO_TEST_CASE(AnswerForNobodyElse)
+BOOST_AUTO_TEST_CASE(AnswerForNoOtherHost)
 {
     QuotaKeeper keeper = keeperOfAll({100, 100});
     keeper.keep({}, 1, begin);
@@ -184,7 +180,7 @@
         options.calmFor = std::chrono::seconds(*rc::gen::inRange(0, 20));
         QuotaFleet fleet(options, *rc::gen::arbitrary<std::uint64_t>());
         fleet.run();
-        RC_ASSERT(static_cast<double>(fleet.mostInAWindow()) <= fleet.bound());
+        RC_ASSERT(static_cast<double>(fleet.maxGrantedInWindow()) <= fleet.bound());
     });
 }
 
@@ -200,37 +196,37 @@
 
 BOOST_AUTO_TEST_CASE(ServeUsualUseThroughCutsAndKills)
 {
-    // What stays well below a quota may be refused for want of a keeper, but not for long.
+    // Requests well below a quota may be refused while there is no keeper, but not for long.
     QuotaFleetOptions options;
     options.quota = {100, 100};
     options.load = 0.6;
     options.length = std::chrono::seconds(60);
     QuotaFleet fleet(options, 7);
     const auto granted = static_cast<double>(fleet.run().size());
-    options.bridgesSilence = false;
+    options.usesGrace = false;
     QuotaFleet without(options, 7);
     const auto grantedWithout = static_cast<double>(without.run().size());
-    BOOST_TEST_MESSAGE(granted << " granted, " << grantedWithout << " where silent keepers are only waited for");
+    BOOST_TEST_MESSAGE(granted << " granted, " << grantedWithout << " without grants during silence");
     BOOST_TEST(granted > grantedWithout);
     const double asked = options.load * options.quota.perSecond * 60;
     BOOST_TEST(granted >= 0.5 * asked, "" << granted << " of " << asked << " were granted");
 }
 
-BOOST_AUTO_TEST_CASE(NeedTheirShareByPart)
+BOOST_AUTO_TEST_CASE(NeedTheirSharePerPartition)
 {
     QuotaFleetOptions options;
-    options.faults.ignoresParts = true;
-    BOOST_TEST(!keepsTheBound(options, 20), "parts of a fleet that each hand out the whole quota kept the bound");
+    options.faults.ignoresPartitions = true;
+    BOOST_TEST(!keepsTheBound(options, 20), "partitions that each grant the whole quota kept the bound");
 }
 
-BOOST_AUTO_TEST_CASE(NeedToBeginWithNextToNothing)
+BOOST_AUTO_TEST_CASE(NeedToStartWithASmallAllowance)
 {
     QuotaFleetOptions options;
-    options.faults.beginsFull = true;
+    options.faults.startsFull = true;
     options.eventSpacing = milliseconds{1000};
     options.bounds.slack = 0;
     options.quota = {20, 200};
-    BOOST_TEST(!keepsTheBound(options, 50), "keepers that begin with everything kept the bound");
+    BOOST_TEST(!keepsTheBound(options, 50), "keepers that start with the full burst kept the bound");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
