--- a/src/runtime/upstreams/homeerrors.cpp
+++ b/src/runtime/upstreams/homeerrors.cpp
@@ -1,4 +1,4 @@
-// Errors of homes.
+// Texts and kinds of the errors of a home.
 
 #include "runtime/upstreams/homeerrors.h"
 
@@ -27,7 +27,7 @@
 
 Error fenced(const std::string &upstream)
 {
-    return {ErrorKind::Moved, "The upstream '" + upstream + "' takes no writes any more; ask the new primary.", retrySoon};
+    return {ErrorKind::Moved, "The upstream '" + upstream + "' no longer accepts writes; ask the new primary.", retrySoon};
 }
 
 Error notFresh(const std::string &upstream, FreshnessReason reason)
@@ -56,7 +56,7 @@
 
 Error upstreamBusy(const std::string &upstream)
 {
-    return {ErrorKind::Overloaded, "The upstream '" + upstream + "' has no room for another statement; retry later.", retrySoon};
+    return {ErrorKind::Overloaded, "The upstream '" + upstream + "' cannot accept another statement; retry later.", retrySoon};
 }
 
 Error transactionGone()
@@ -76,12 +76,12 @@
 
 Error frontGone()
 {
-    return {ErrorKind::Leaving, "The host that sent the request is gone; nothing was sent."};
+    return {ErrorKind::Leaving, "The host that sent the request has disconnected; nothing was sent."};
 }
 
 Error hostStops()
 {
-    return {ErrorKind::Leaving, "This host stops; nothing was sent. Ask another one.", retrySoon};
+    return {ErrorKind::Leaving, "This host is stopping; nothing was sent. Ask another one.", retrySoon};
 }
 
 Error primaryReplaced()
@@ -101,7 +101,7 @@
 
 Error lostWrite(const std::string &cause)
 {
-    return {ErrorKind::UnknownOutcome, cause + "; look whether the statement took effect before you repeat it."};
+    return {ErrorKind::UnknownOutcome, cause + "; check whether the statement took effect before you repeat it."};
 }
 
 Error readGivenUp(ErrorKind reason)
@@ -114,7 +114,7 @@
     const std::string cause = outcome == CommitOutcome::LostPrimary ? "the primary was replaced before a majority held the write"
                                                                     : "no majority confirmed the write in time";
     return {ErrorKind::UnknownOutcome,
-            "The outcome is unknown: " + cause + "; look whether it took effect before you repeat it."};
+            "The outcome is unknown: " + cause + "; check whether it took effect before you repeat it."};
 }
 
 } // namespace egrettide::homeerrors
--- a/src/runtime/upstreams/homeerrors.h
+++ b/src/runtime/upstreams/homeerrors.h
@@ -1,5 +1,5 @@
-// What a home tells callers when a request is refused, lost or unproven: the kind
-// fixes what they may conclude, the text names the remedy.
+// The errors with which a home answers a request that is refused, lost or not
+// confirmed. The kind states whether the request ran, the text names the remedy.
 
 #pragma once
 
@@ -12,24 +12,24 @@
 namespace egrettide::homeerrors
 {
 
-// When to come back after a refusal that a new view of the group will lift.
+// The delay before a retry, for refusals that end with a newer snapshot of the group.
 constexpr milliseconds retrySoon{50};
 
 // Nothing was sent: this host is not, or no longer, the home.
 Error notHome(const std::string &upstream);
-// Nothing was sent: the upstream is being taken away.
+// Nothing was sent: the upstream is being removed.
 Error upstreamLeaving(const std::string &upstream);
 // Nothing was sent: no primary is known.
 Error noPrimary(const std::string &database);
 // Nothing was sent: another upstream is the primary.
 Error primaryElsewhere(const std::string &database, const std::string &primary);
-// Sent, and refused by an upstream that takes no writes any more: nothing ran.
+// Sent, and refused by an upstream that no longer accepts writes: nothing ran.
 Error fenced(const std::string &upstream);
 // Nothing was sent: the upstream cannot serve the read in time.
 Error notFresh(const std::string &upstream, FreshnessReason reason);
 // Nothing was sent: the deadline had passed.
 Error deadlinePassed();
-// The cause of an unknown outcome; it completes the ledger's sentence.
+// The cause of an unknown outcome; RequestLedger puts its text into the message.
 Error deadlinePassedUnanswered();
 Error noSlot();
 Error upstreamBusy(const std::string &upstream);
@@ -46,9 +46,9 @@
 Error lostRead(const std::string &cause);
 Error oversizedRead(const std::string &cause);
 Error lostWrite(const std::string &cause);
-// A read that was sent and given up; `reason` says why.
+// A read that was sent and abandoned for `reason`.
 Error readGivenUp(ErrorKind reason);
-// Ran, and its commit could not be proven.
+// Ran, but its commit was not confirmed.
 Error unconfirmed(CommitOutcome outcome);
 
 } // namespace egrettide::homeerrors
--- a/src/runtime/upstreams/homerequest.cpp
+++ b/src/runtime/upstreams/homerequest.cpp
@@ -1,4 +1,4 @@
-// Requests and transactions of a home.
+// Predicates and conversions for the requests of a home.
 
 #include "runtime/upstreams/homerequest.h"
 
@@ -8,8 +8,8 @@
 namespace
 {
 
-// A batch of several statements may hold a COMMIT that its kind does not tell of:
-// if such a batch is lost, its outcome is not known to be a rollback.
+// A batch of several statements may contain a COMMIT that its kind does not show.
+// If such a batch is lost, it cannot be assumed to have been rolled back.
 bool mayHideCommit(const StatementRequest &request)
 {
     return request.kind == StatementKind::Write && request.mayHoldSeveral;
@@ -63,10 +63,10 @@
     if (request.transaction == 0 && runsOnReplicas(request)) {
         order.requiredMark = pending.terms.requiredMark;
     }
-    // Any other statement that needs the primary is refused by an upstream that
-    // does not lead; a read is not.
+    // An upstream that is not the primary refuses the other statements that need the
+    // primary by itself, but not reads.
     order.requiresLead = request.transaction == 0 && isRead(request.kind) && request.needsPrimary;
-    // Inside a transaction nothing is to be confirmed before its end.
+    // Within a transaction only its end has to be confirmed.
     order.askStatus = request.transaction != 0 ? endsTransaction(request.kind) : !opensTransaction(request.kind);
     order.deadline = request.deadline;
     return order;
--- a/src/runtime/upstreams/homerequest.h
+++ b/src/runtime/upstreams/homerequest.h
@@ -1,5 +1,5 @@
-// What a home keeps for each request and each open transaction, and what the kind
-// of a request allows.
+// The state that a home keeps for each request and each open transaction, and
+// predicates on the kind of a request.
 
 #pragma once
 
@@ -15,36 +15,37 @@
 namespace egrettide
 {
 
-// Names one request at a home; never reused. Front's own ids are unique there only.
+// Identifies one request at a home; never reused. The request ids of a front (the part
+// of a host that serves callers) are unique only within that front.
 using Ticket = std::uint64_t;
 
-// Where a request is in its life.
+// The stages of a request, in their order.
 enum class RequestStage {
     AwaitingFreshness,
     AwaitingSlot,
-    // Has a slot, waits for a connection.
+    // Holds a slot and waits for a connection.
     AwaitingConnection,
     Running,
-    // Answered; waits for the commit to be confirmed.
+    // Answered by the upstream; the commit is not confirmed yet.
     Confirming,
 };
 
-// One request and all that is held for it.
+// One request and the resources that it holds.
 struct HomeRequest {
     StatementRequest request;
     std::string frontKey;
     ReplyHandler handler;
     RequestStage stage = RequestStage::AwaitingFreshness;
-    // When this home received it; its floor was fixed by then.
+    // When this home received it; its floor does not change afterwards.
     TimePoint receivedHere;
-    // How long a replica may make it wait to become fresh enough.
+    // Until when it may wait for a replica to become fresh enough.
     TimePoint replicaWaitUntil;
-    // When the freshness is looked at again; meaningful in AwaitingFreshness.
+    // When the freshness is checked again; meaningful in AwaitingFreshness.
     TimePoint recheckAt;
-    // On which terms the freshness gate let it through.
+    // The conditions under which the freshness gate admitted it.
     Serve terms;
     bool holdsSlot = false;
-    // True while the scheduler counts a transaction for it that is not open yet.
+    // True while the scheduler has reserved a transaction for it that is not open yet.
     bool countsTransaction = false;
     // Set exactly in Running.
     UpstreamPool::Connection connection;
@@ -57,7 +58,7 @@
     StatementReply reply;
 };
 
-// An open transaction and the connection that is its own.
+// An open transaction and the connection reserved for it.
 struct HomeTransaction {
     std::string frontKey;
     std::string className;
@@ -67,22 +68,22 @@
     bool counted = false;
     // The request that runs or waits in it, 0 for none.
     Ticket ticket = 0;
-    // When it is rolled back unless a request arrives.
+    // When it is rolled back if no request arrives before.
     TimePoint idleDeadline;
 };
 
 bool isRead(StatementKind kind);
 bool opensTransaction(StatementKind kind);
 bool endsTransaction(StatementKind kind);
-// True for what any upstream that is fresh enough may run; false also for reads
-// whose caller wants the primary.
+// True for requests that any upstream that is fresh enough may run. False for reads
+// whose caller requires the primary.
 bool runsOnReplicas(const StatementRequest &request);
-// True when nothing of the request has left for the upstream.
+// True when nothing of the request has been sent to the upstream.
 bool isUnsent(const HomeRequest &request);
 
-// What the ledger needs to know of a request.
+// The properties of a request that RequestLedger needs.
 RequestFacts factsOf(Ticket ticket, const StatementRequest &request);
-// What to send for it, the question for the upstream's status included.
+// The batch to send for it, including whether to ask for the upstream's status.
 BatchOrder orderFor(const HomeRequest &pending);
 
 } // namespace egrettide
--- a/src/runtime/upstreams/homeservice.cpp
+++ b/src/runtime/upstreams/homeservice.cpp
@@ -1,4 +1,4 @@
-// Homes and observers of this host.
+// The homes and observers of a host.
 
 #include "runtime/upstreams/homeservice.h"
 
@@ -33,9 +33,9 @@
 struct HomeEntry {
     std::shared_ptr<UpstreamHome> home;
     asio::io_context *context = nullptr;
-    // Where its connections go.
+    // The address of its upstream.
     std::string address;
-    // True when this host is not home any more and only finishes its work.
+    // True when this host is no longer the home and only finishes work in progress.
     bool draining = false;
 };
 
@@ -44,7 +44,7 @@
     return Error{ErrorKind::Moved, "This host is not the home of '" + upstream + "'; ask the host that is.", milliseconds{0}};
 }
 
-// Calls `done` once it has been called for the last time.
+// Calls `done` when down() is called for the `count`th time.
 class Countdown
 {
 public:
@@ -103,8 +103,8 @@
     std::optional<HomeEntry> homeOf(const HomeKey &key) const;
     std::map<HomeKey, HomeEntry> allHomes() const;
     ObserverPointer observerOf(const std::string &database) const;
-    void spread(const std::string &database, const std::shared_ptr<const GroupSnapshot> &snapshot) const;
-    // Runs `work` on the home's own thread.
+    void forwardSnapshot(const std::string &database, const std::shared_ptr<const GroupSnapshot> &snapshot) const;
+    // Runs `work` on the thread of the home.
     template <class Work> static void onHome(const HomeEntry &entry, Work work)
     {
         asio::post(*entry.context, [home = entry.home, work = std::move(work)] { work(*home); });
@@ -116,21 +116,19 @@
     const HomeServiceHooks m_hooks;
     std::size_t m_nextTraffic = 0;
 
-    // Held while homes come and go, so that an observer is not dropped with the
-    // last drained home of a database while a new home is made for it.
+    // Held while homes are added and removed, so that an observer is not destroyed with
+    // the last drained home of a database while a new home is created for it.
     std::mutex m_updateMutex;
-    // Guarded by m_updateMutex. Once true, no home or observer is made any more.
-    //
-    // What goes wrong without it: a change of registrations that the control thread takes
-    // while the host stops makes new homes, which nobody closes. The last work for these is
-    // destroyed with its context, and with it an observer whose own context is gone: the
-    // process ends by a signal at its very end, in 7 of 260 stops of a host just after its
-    // upstreams had started again, under the address sanitizer.
+    // Guarded by m_updateMutex. Once true, no home or observer is created any more.
+    // Without it, a change of registrations during a stop creates homes that are never
+    // closed. Their pending work is destroyed with its context and releases an observer
+    // whose own context is already destroyed, which crashes the process at exit (with the
+    // address sanitizer in 7 of 260 stops just after the upstreams had restarted).
     bool m_stopped = false;
-    // Guards the two maps, not what they point to.
+    // Guards the two maps, but not the objects that they point to.
     mutable std::mutex m_mutex;
     std::map<HomeKey, HomeEntry> m_homes;
-    // One for each database with at least one home here, draining ones included.
+    // One for each database with at least one home on this host, draining homes included.
     std::map<std::string, ObserverPointer> m_observers;
 };
 
@@ -165,7 +163,8 @@
     }
 }
 
-// Observers whose homes here all drain stay for these, but promote nobody.
+// An observer whose homes on this host are all draining is kept for them, but promotes
+// no upstream.
 void HomeService::Impl::updateObservers(const Configuration &configuration,
                                         const std::map<std::string, std::set<std::string>> &homes)
 {
@@ -200,7 +199,7 @@
     const auto weak = weak_from_this();
     hooks.published = [weak, name = database.name, also = m_hooks.observer.published](const auto &snapshot) {
         if (const auto self = weak.lock()) {
-            self->spread(name, snapshot);
+            self->forwardSnapshot(name, snapshot);
         }
         if (also) {
             also(snapshot);
@@ -249,7 +248,7 @@
         return;
     }
     if (found != m_homes.end()) {
-        // The upstream has moved: what goes on at the old address may end there.
+        // The upstream has a new address: work in progress may finish at the old one.
         onHome(found->second, [](UpstreamHome &home) { home.drain([] {}); });
         m_homes.erase(found);
     }
@@ -286,8 +285,8 @@
     return hooks;
 }
 
-// A home that drains still has its place, for the statements of its open
-// transactions; it is forgotten once it is done.
+// A draining home stays in m_homes for the statements of its open transactions; it is
+// removed when the drain ends.
 void HomeService::Impl::startDrain(const HomeKey &key, const HomeEntry &entry, std::function<void()> drained)
 {
     {
@@ -404,7 +403,7 @@
     }
 }
 
-void HomeService::Impl::spread(const std::string &database, const std::shared_ptr<const GroupSnapshot> &snapshot) const
+void HomeService::Impl::forwardSnapshot(const std::string &database, const std::shared_ptr<const GroupSnapshot> &snapshot) const
 {
     for (const auto &[key, entry] : allHomes()) {
         if (key.database == database) {
@@ -439,7 +438,7 @@
     return found == m_observers.end() ? nullptr : found->second;
 }
 
-// ---- The whole
+// ---- Statistics, drain and stop
 
 void HomeService::Impl::stats(std::function<void(std::vector<UpstreamHomeStats>)> handler) const
 {
@@ -494,7 +493,7 @@
     }
 }
 
-// ---- The public face
+// ---- Public interface
 
 HomeService::HomeService(asio::io_context &control, std::vector<asio::io_context *> traffic, HomeServiceSettings settings,
                          HomeServiceHooks hooks)
--- a/src/runtime/upstreams/homeservice.h
+++ b/src/runtime/upstreams/homeservice.h
@@ -1,6 +1,7 @@
-// All upstreams whose home this host is, spread over the traffic threads, and
-// the observers of their groups on the control thread. What a host is home of
-// follows from the configuration and a placement predicate.
+// The homes of a host, distributed over its traffic threads, and the observers of
+// their groups on the control thread. The home of an upstream is the one host that
+// holds its connections and slots. The configuration and a placement predicate
+// determine the upstreams whose home this host is.
 
 #pragma once
 
@@ -32,16 +33,16 @@
 };
 
 struct HomeServiceHooks {
-    // For every observer. `pauseWrites`, `resumeWrites` and `clockGap` are the
-    // service's own business and replaced; `published` is called in addition.
+    // For every observer. The service replaces `pauseWrites`, `resumeWrites` and
+    // `clockGap`; it calls `published` in addition to its own handler.
     GroupObserverHooks observer;
-    // A home that this host resigned holds no data connection any more: to be told
-    // to its successor. Called on a traffic thread.
+    // A drained home holds no data connection any more; to be sent to the successor.
+    // Called on a traffic thread.
     std::function<void(const std::string &database, const std::string &upstream, const HandBack &handBack)> handedBack;
 };
 
-// Calls may come from any thread, but update, drain and stop not from two at once.
-// The io_contexts must outlive the service and be run by one thread each.
+// Calls may come from any thread; update, drain and stop must not run concurrently.
+// The io_contexts must outlive the service, and one thread must run each of them.
 class HomeService
 {
 public:
@@ -51,42 +52,41 @@
     HomeService(const HomeService &) = delete;
     HomeService &operator=(const HomeService &) = delete;
 
-    // Homes that are no longer this host's drain, new ones start. The predicate
-    // is asked within the call.
+    // Starts new homes and drains those that are no longer placed on this host. The
+    // predicate is called only within the call.
     void update(const std::shared_ptr<const Configuration> &configuration, const HomePredicate &isHome);
 
-    // Runs a request at its home here, else answers Moved, not run. `handler` is
-    // called exactly once, on a traffic thread or within the call. `frontKey`
-    // names the front, since its request ids are unique there only.
+    // Runs a request at its home; answers Moved (not run) when this host is not the
+    // home. `handler` is called exactly once, on a traffic thread or within the call.
+    // `frontKey` identifies the front, since request ids are unique only within one.
     void execute(StatementRequest request, const std::string &frontKey, ReplyHandler handler);
     void cancel(const std::string &frontKey, std::uint64_t id);
-    // The link to a front broke.
+    // The link to a front was lost: gives up its requests and rolls back its transactions.
     void abandonFront(const std::string &frontKey);
 
-    // Answers another home's question; see GroupObserverHooks::askOpinion.
-    // `handler` is called on the control thread, with nothing when this host does
-    // not watch the group.
+    // Answers the question of another home; see GroupObserverHooks::askOpinion.
+    // `handler` is called on the control thread, with nullopt when this host does
+    // not observe the group.
     void giveOpinion(const OpinionQuestion &question, std::function<void(std::optional<bool>)> handler);
     // Another host announced a primary.
     void onAnnounce(const std::string &database, Term term, const std::string &primary);
-    // Operators move the primary. Only the home of the current primary can; others
-    // answer Moved and name it. `handler` is called on the control thread.
+    // Moves the primary on behalf of an operator. Only the home of the current primary
+    // can; others answer Moved and name it. `handler` is called on the control thread.
     void switchover(const std::string &database, const std::string &to, std::function<void(tl::expected<void, Error>)> handler);
 
-    // What other hosts say about the place of a home; see ConnectionBudget.
+    // Reports of other hosts about where a home is placed; see ConnectionBudget.
     void confirmedHome(const std::string &database, const std::string &upstream, TimePoint askedAt);
     void handedBack(const std::string &database, const std::string &upstream, const HandBack &handBack);
 
-    // The newest snapshot of a group that this host watches, or null.
+    // The newest snapshot of a group that this host observes, or null.
     std::shared_ptr<const GroupSnapshot> snapshot(const std::string &database) const;
-    // How long a new statement would be without an answer is each home's own
-    // affair; these are its counters. `handler` is called on the control thread.
+    // Collects the counters of all homes. `handler` is called on the control thread.
     void stats(std::function<void(std::vector<UpstreamHomeStats>)> handler) const;
 
-    // Finishes what is in progress everywhere; `drained` is called once, on the
-    // control thread.
+    // Drains all homes; `drained` is called once, on the control thread.
     void drain(std::function<void()> drained);
-    // Gives everything up; to be called before the io_contexts end. Later updates do nothing.
+    // Closes all homes and observers; to be called before the io_contexts are destroyed.
+    // Later updates do nothing.
     void stop();
 
 private:
--- a/src/runtime/upstreams/upstreamconnection.cpp
+++ b/src/runtime/upstreams/upstreamconnection.cpp
@@ -1,4 +1,4 @@
-// One connection to an upstream.
+// Login, batches and cancel requests of a connection to an upstream.
 
 #include "runtime/upstreams/upstreamconnection.h"
 
@@ -22,13 +22,13 @@
 {
 
 constexpr std::string_view statusQuery = "SELECT * FROM group_status()";
-// After this many prepared statements a connection is replaced: upstreams keep
-// each one in memory for as long as the connection lives.
+// A connection with more prepared statements is replaced: upstreams keep each of them
+// in memory until the connection is closed.
 constexpr std::size_t maxPreparedStatements = 2000;
 constexpr std::string_view unknownStatementState = "26000";
 constexpr std::string_view readOnlyState = "25006";
 constexpr std::string_view tooManyConnectionsState = "53300";
-// A cancel request that has not left by then is of no use.
+// A cancel request that has not been sent by then is dropped.
 constexpr milliseconds cancelTimeout{1000};
 
 tl::expected<tcp::endpoint, Error> endpointOf(const std::string &address)
@@ -47,7 +47,7 @@
     return tcp::endpoint(ip, port);
 }
 
-// A cancel request on its way; it lives until it is written or too late.
+// A cancel request; it keeps itself alive until it is written or times out.
 struct CancelAttempt {
     explicit CancelAttempt(asio::io_context &context) : socket(context), timer(context)
     {
@@ -179,13 +179,13 @@
         if (!next->has_value()) {
             break;
         }
-        takeMessage(**next);
+        handleMessage(**next);
     }
     if (m_state == State::Closed) {
         return;
     }
-    // Only after every buffered message is taken, so that none of them can fall
-    // into the answer of the next batch.
+    // The batch finishes only after all buffered messages are handled, so that none of
+    // them becomes part of the next batch's answer.
     if (m_work && m_work->complete) {
         finishBatch();
     }
@@ -194,26 +194,26 @@
     }
 }
 
-void UpstreamConnection::takeMessage(const pg::Message &message)
+void UpstreamConnection::handleMessage(const pg::Message &message)
 {
     if (m_state == State::Opening) {
-        takeLoginMessage(message);
+        handleLoginMessage(message);
     } else if (m_work && !m_work->answered) {
-        takeBatchMessage(message);
+        handleBatchMessage(message);
     } else if (m_work && !m_work->complete) {
-        takeStatusMessage(message);
+        handleStatusMessage(message);
     } else {
-        takeIdleMessage(message);
+        handleIdleMessage(message);
     }
 }
 
-void UpstreamConnection::takeLoginMessage(const pg::Message &message)
+void UpstreamConnection::handleLoginMessage(const pg::Message &message)
 {
     pg::PayloadReader reader(message.payload);
     switch (message.type) {
     case 'R':
         if (reader.uint32().value_or(1) != 0) {
-            fail(BatchFailure::Reason::Protocol, "asks for a password; let egrettide in without one");
+            fail(BatchFailure::Reason::Protocol, "asks for a password; configure it to admit egrettide without one");
         }
         break;
     case 'K':
@@ -236,22 +236,22 @@
     }
 }
 
-void UpstreamConnection::takeIdleMessage(const pg::Message &message)
+void UpstreamConnection::handleIdleMessage(const pg::Message &message)
 {
     const bool harmless = message.type == 'N' || message.type == 'S' || message.type == 'A';
     if (!harmless) {
-        fail(BatchFailure::Reason::Protocol, "ended the connection or sent what nobody asked for");
+        fail(BatchFailure::Reason::Protocol, "ended the connection or sent an unsolicited message");
     }
 }
 
-void UpstreamConnection::takeBatchMessage(const pg::Message &message)
+void UpstreamConnection::handleBatchMessage(const pg::Message &message)
 {
     Work &work = *m_work;
     if (message.type == 'A') {
         return;
     }
     if (message.type == 'G' || message.type == 'W') {
-        fail(BatchFailure::Reason::Protocol, "started COPY FROM STDIN, which is not carried; use INSERT");
+        fail(BatchFailure::Reason::Protocol, "started COPY FROM STDIN, which is not supported; use INSERT");
         return;
     }
     if (message.type == '1' && !work.injectedNames.empty()) {
@@ -286,8 +286,8 @@
 {
     Work &work = *m_work;
     if (message.type == 'E') {
-        // After an error the upstream skips the rest up to the Sync, injected
-        // Parses included.
+        // After an error the upstream skips all messages up to the Sync, including
+        // injected Parse messages.
         work.injectedNames.clear();
         if (work.answer.errorCode.empty()) {
             work.answer.errorCode = pg::parseErrorFields(message.payload).sqlState;
@@ -300,8 +300,8 @@
     } else if (message.type == 'Z') {
         m_transactionState = message.payload.empty() ? 'I' : message.payload.front();
         work.answer.state = m_transactionState;
-        // A fenced upstream refuses a write with "read-only transaction"; if that is
-        // all it did, nothing ran.
+        // A fenced upstream refuses a write with "read-only transaction". If no statement
+        // completed before, nothing ran.
         if (work.answer.errorCode == readOnlyState && work.answer.completedStatements == 0) {
             work.answer.refusal = ErrorKind::Moved;
         }
@@ -310,7 +310,7 @@
     }
 }
 
-void UpstreamConnection::takeStatusMessage(const pg::Message &message)
+void UpstreamConnection::handleStatusMessage(const pg::Message &message)
 {
     Work &work = *m_work;
     if (message.type == 'T') {
@@ -343,7 +343,7 @@
 {
     if (!usable()) {
         asio::post(m_context, [handler = std::move(handler)] {
-            handler(tl::unexpected(BatchFailure{BatchFailure::Reason::Lost, false, "has its connection closed"}));
+            handler(tl::unexpected(BatchFailure{BatchFailure::Reason::Lost, false, "has no open connection"}));
         });
         return;
     }
@@ -387,8 +387,8 @@
     const auto keepAlive = shared_from_this();
     close();
     if (openHandler) {
-        openHandler(tl::unexpected(
-            Error{m_refusalKind, "The upstream at " + m_settings.address + " " + message + "; retry once it is well."}));
+        openHandler(tl::unexpected(Error{
+            m_refusalKind, "The upstream at " + m_settings.address + " " + message + "; retry once it is available again."}));
     }
     if (work) {
         work->handler(tl::unexpected(BatchFailure{reason, true, message}));
@@ -411,8 +411,8 @@
     if (m_state == State::Closed) {
         return;
     }
-    // A batch may not lose its handler: whoever closes a busy connection gives
-    // the batch up.
+    // Every batch handler must be called, so closing a busy connection gives its
+    // batch up.
     if (m_work) {
         giveUp();
         return;
--- a/src/runtime/upstreams/upstreamconnection.h
+++ b/src/runtime/upstreams/upstreamconnection.h
@@ -1,4 +1,4 @@
-// One connection to an upstream, as a PostgreSQL v3 client.
+// A connection to an upstream as a client of the PostgreSQL protocol, version 3.
 
 #pragma once
 
@@ -28,7 +28,7 @@
 namespace egrettide
 {
 
-// See UpstreamLink. A batch ends in exactly one Query or Sync.
+// Implements UpstreamLink. A batch ends with exactly one Query or Sync message.
 class UpstreamConnection : public UpstreamLink, public std::enable_shared_from_this<UpstreamConnection>
 {
 public:
@@ -56,12 +56,13 @@
         BatchOrder order;
         BatchHandler handler;
         BatchAnswer answer;
-        // Injected Parses whose ParseComplete is still to be dropped, in order.
+        // Names of the injected Parse messages whose ParseComplete is still to be
+        // removed from the answer, in order.
         std::deque<std::string> injectedNames;
-        // True once the batch's own ReadyForQuery is in.
+        // True once the ReadyForQuery of the batch has been received.
         bool answered = false;
         std::vector<std::string> statusColumns;
-        // True once everything that was asked for is in.
+        // True once the whole answer, including a requested status, has been received.
         bool complete = false;
     };
 
@@ -71,13 +72,13 @@
     void startLogin();
     void readSome();
     void onBytes(std::size_t count);
-    void takeMessage(const pg::Message &message);
-    void takeLoginMessage(const pg::Message &message);
-    void takeBatchMessage(const pg::Message &message);
+    void handleMessage(const pg::Message &message);
+    void handleLoginMessage(const pg::Message &message);
+    void handleBatchMessage(const pg::Message &message);
     void keepRow(const pg::Message &message);
     void noteBatchMessage(const pg::Message &message);
-    void takeStatusMessage(const pg::Message &message);
-    void takeIdleMessage(const pg::Message &message);
+    void handleStatusMessage(const pg::Message &message);
+    void handleIdleMessage(const pg::Message &message);
     void finishOpen(tl::expected<void, Error> result);
     void finishBatch();
     void fail(BatchFailure::Reason reason, const std::string &message);
@@ -90,21 +91,21 @@
     boost::asio::ip::tcp::socket m_socket;
     Timer m_timer;
     State m_state = State::New;
-    // When the opening or the batch in progress is given up.
+    // The deadline of the opening or of the batch in progress.
     TimePoint m_deadline;
     pg::FrameReader m_reader;
     std::array<char, 16384> m_input{};
-    // Invariant: the front one is being written.
+    // Invariant: the first element is being written.
     std::deque<std::string> m_output;
     OpenHandler m_openHandler;
     std::function<void()> m_idleLoss;
     // Invariant: set exactly while m_state is Busy.
     std::unique_ptr<Work> m_work;
-    // Names of prepared statements that the upstream confirmed on this connection.
+    // Names of the prepared statements that exist on this connection.
     std::set<std::string, std::less<>> m_prepared;
     char m_transactionState = 'I';
     ProbeFailure m_lossKind = ProbeFailure::Reset;
-    // What a failed opening is reported as.
+    // The error kind of a failed opening.
     ErrorKind m_refusalKind = ErrorKind::NoPrimary;
     std::uint32_t m_processId = 0;
     std::uint32_t m_secretKey = 0;
--- a/src/runtime/upstreams/upstreamdialect.cpp
+++ b/src/runtime/upstreams/upstreamdialect.cpp
@@ -1,4 +1,4 @@
-// The PostgreSQL kind of upstreams.
+// The dialect of PostgreSQL upstreams.
 
 #include "runtime/upstreams/upstreamdialect.h"
 
--- a/src/runtime/upstreams/upstreamdialect.h
+++ b/src/runtime/upstreams/upstreamdialect.h
@@ -1,5 +1,5 @@
-// What sets one kind of upstreams apart from another: how to connect, how to word
-// what egrettide itself sends, and what such an upstream proves by itself.
+// The properties of one kind of upstreams: how to connect, the commands that egrettide
+// itself sends, and the guarantees that such an upstream gives.
 
 #pragma once
 
@@ -17,30 +17,29 @@
 
 struct UpstreamDialect {
     ControlPort control;
-    // Orders to promote from now on go to another address; set where control.promote is.
+    // Changes the address to which promotion orders are sent; set if control.promote is.
     std::function<void(const boost::asio::ip::tcp::endpoint &orders)> moveOrders;
     // A batch that rolls the open transaction back.
     std::string rollback;
     // True when an upstream checks a required mark against its own log and refuses
     // the read otherwise; see BatchOrder::requiredMark.
     bool checksMarks = false;
-    // True when a primary that has been replaced knows it: its own word then proves
-    // that it leads, and no majority is asked.
+    // True when a replaced primary never reports itself as the primary: the report of an
+    // upstream then proves that it is the primary, and no majority is asked.
     bool leaderProvesItself = false;
-    // True when upstreams have to know for which workspace a statement runs: a connection is
-    // then opened in its name and used for it alone.
+    // True when upstreams need the workspace of each statement: a connection is then
+    // opened in the name of one workspace and used only for it.
     bool connectsAsWorkspace = false;
-    // True when an upstream refuses what exceeds its slots and queue, and its slots are
-    // exactly as many as it says.
-    //
-    // What goes wrong with a limit that follows the observed latency there: a home that
-    // is new learns from a few quick statements, takes every usual one for slow, and
-    // lowers its limit to one; with a queue standing before it, it never rises again.
-    // One notices refusals for good at a fraction of the load, on one home of three.
+    // True when an upstream refuses statements beyond its slots and queue, and has exactly
+    // as many slots as it reports. The home then uses this number instead of a limit that
+    // follows the observed latency. Such a limit can fail permanently: a new home that
+    // learns from a few quick statements rates the usual ones as slow and lowers its limit
+    // to one, and with a standing queue the limit never rises again. One home of three
+    // then refuses requests at a fraction of the load.
     bool slotsAreExact = false;
 };
 
-// Upstreams that speak PostgreSQL and answer the control functions as SQL.
+// Upstreams that use the PostgreSQL protocol and provide the control functions in SQL.
 std::shared_ptr<const UpstreamDialect> postgresDialect();
 
 } // namespace egrettide
--- a/src/runtime/upstreams/upstreamhome.cpp
+++ b/src/runtime/upstreams/upstreamhome.cpp
@@ -1,5 +1,5 @@
-// The home of one upstream: admission, freshness and sending. Answers are taken
-// in upstreamhomeanswers.cpp, time and operations in upstreamhomeupkeep.cpp.
+// The home of one upstream: admission, freshness and sending. Answers are handled in
+// upstreamhomeanswers.cpp, timers and operations in upstreamhomeupkeep.cpp.
 
 #include "runtime/upstreams/upstreamhome.h"
 
@@ -17,8 +17,8 @@
 namespace
 {
 
-// Connections kept open beyond the slots, for transactions that rest between two of their
-// statements: a BEGIN would else wait the 10 to 30 ms of an opening.
+// Connections kept open beyond the slots, for transactions that are idle between two
+// statements. Without them a BEGIN waits 10 to 30 ms for a connection to open.
 constexpr int warmBeyondSlots = 2;
 
 ConnectionSettings connectionSettings(const UpstreamHomeSettings &settings, const std::string &database,
@@ -61,7 +61,7 @@
     , m_view(database.name, upstream.name, settings.gate)
     , m_pool(context, settings.dialect->control.makeLink, connectionSettings(settings, database.name, upstream),
              budgetOptions(settings, upstream), planOptions(settings), settings.openTimeout,
-             UpstreamPool::Hooks{[this] { settle(); }, [this](const Error &) { settle(); }})
+             UpstreamPool::Hooks{[this] { makeProgress(); }, [this](const Error &) { makeProgress(); }})
     , m_scheduler(schedulerOptions())
     , m_nextTransaction(std::max<std::uint64_t>(1, settings.firstTransaction))
     , m_timer(context)
@@ -77,19 +77,19 @@
     options.slots = m_upstream.slots;
     options.classes = m_configuration->classes;
     options.tenants = m_configuration->tenants;
-    options.maximumTransactions = std::max(1, m_transactionPlaces);
+    options.maximumTransactions = std::max(1, m_transactionLimit);
     return options;
 }
 
-void UpstreamHome::followAllowance(TimePoint now)
+void UpstreamHome::applyAllowance(TimePoint now)
 {
     ConnectionBudget &budget = m_pool.budget();
     const ConnectionDemand demand{m_scheduler.inUse(), m_scheduler.queued(), static_cast<int>(m_transactions.size()),
                                   m_upstream.slots};
     budget.demand(connectionsFor(demand), now);
     const int places = budget.transactionPlaces(m_upstream.slots, now);
-    if (places != m_transactionPlaces) {
-        m_transactionPlaces = places;
+    if (places != m_transactionLimit) {
+        m_transactionLimit = places;
         apply(m_scheduler.configure(schedulerOptions(), now));
     }
 }
@@ -108,11 +108,11 @@
         reply.error = std::move(refusal);
         keepTransaction(reply, request.transaction, frontKey);
         replyTo(std::move(handler), std::move(reply), request.className);
-        settle();
+        makeProgress();
         return;
     }
     if (request.transaction == 0) {
-        m_pool.asked(ownerOf(request), Clock::now());
+        m_pool.noteRequest(ownerOf(request), Clock::now());
     }
     const Ticket ticket = ++m_lastTicket;
     HomeRequest pending;
@@ -122,7 +122,7 @@
     pending.receivedHere = Clock::now();
     pending.replicaWaitUntil = pending.receivedHere + m_database.replicaWait;
     pending.reply.id = pending.request.id;
-    // The ledger refuses a ticket only if it is open already; tickets only rise.
+    // The ledger refuses only tickets that are already open; tickets are never reused.
     static_cast<void>(m_ledger.open(factsOf(ticket, pending.request)));
     const bool checksFreshness = pending.request.transaction == 0 && runsOnReplicas(pending.request);
     if (pending.request.transaction != 0) {
@@ -134,7 +134,7 @@
     } else {
         enqueue(ticket);
     }
-    settle();
+    makeProgress();
 }
 
 std::optional<Error> UpstreamHome::refusalOf(const StatementRequest &request) const
@@ -199,7 +199,7 @@
         return;
     }
     if (!m_view.observed()) {
-        // Nothing has been observed yet; the first snapshot comes within a round.
+        // No snapshot has been received yet; the first one arrives within a round.
         awaitFreshness(ticket, m_pending.at(ticket).request.deadline);
         return;
     }
@@ -275,7 +275,8 @@
     m_ready = std::move(waiting);
 }
 
-// False when the ticket has to wait for a connection, or for a sign of life.
+// False when the ticket has to wait for a connection, or for a confirmation that the
+// upstream is still the primary.
 bool UpstreamHome::sendOne(Ticket ticket)
 {
     const auto found = m_pending.find(ticket);
@@ -303,7 +304,7 @@
     return m_settings.dialect->connectsAsWorkspace ? request.tenant : std::string();
 }
 
-// The owners of those that have a slot and no connection.
+// The owners of the requests that hold a slot and have no connection.
 std::vector<std::string_view> UpstreamHome::ownersWaiting() const
 {
     std::vector<std::string_view> owners;
@@ -317,8 +318,8 @@
     return owners;
 }
 
-// The last look before a request leaves: what held when it was queued may not
-// hold any more. Refuses it, or lets it wait again, when it must not be sent.
+// Checks a request again just before it is sent, since the group may have changed while
+// it was queued. Refuses it or lets it wait again if it must not be sent now.
 bool UpstreamHome::maySendNow(Ticket ticket)
 {
     HomeRequest &pending = m_pending.at(ticket);
@@ -348,7 +349,7 @@
 bool UpstreamHome::awaitsProofOfPrimary(const HomeRequest &pending) const
 {
     const bool isNewWrite = pending.request.transaction == 0 && !runsOnReplicas(pending.request);
-    return isNewWrite && !m_view.isPrimarySinceLoss();
+    return isNewWrite && !m_view.isPrimaryConfirmedSinceLoss();
 }
 
 void UpstreamHome::start(Ticket ticket, const Connection &connection)
@@ -371,7 +372,7 @@
 
 void UpstreamHome::onAnswer(Ticket ticket, tl::expected<BatchAnswer, BatchFailure> answer)
 {
-    // A request that was given up has been answered; its connection is closed.
+    // A request that was given up has already been answered and its connection closed.
     if (!m_pending.contains(ticket)) {
         return;
     }
@@ -380,10 +381,10 @@
     } else {
         onLost(ticket, answer.error());
     }
-    settle();
+    makeProgress();
 }
 
-// ---- Views
+// ---- Snapshots
 
 void UpstreamHome::onSnapshot(const std::shared_ptr<const GroupSnapshot> &snapshot)
 {
@@ -397,18 +398,18 @@
     for (const auto &[recheckAt, ticket] : waiting) {
         decideFreshness(ticket);
     }
-    settle();
+    makeProgress();
 }
 
-// The primary changed: queued writes go to the new one, and those that the old
-// one has not answered are waited for a little only, since it may be frozen.
+// The primary has changed: queued writes are refused, so that fronts send them to the new
+// one. Outstanding writes are waited for only briefly, since the old primary may be frozen.
 void UpstreamHome::leaveReplacedPrimary()
 {
     if (m_view.isPrimary() || m_view.primary().empty()) {
         return;
     }
     refuseQueued(*primaryRefusal(), true);
-    m_patienceUntil = Clock::now() + m_settings.replacedPrimaryPatience;
+    m_replacedPrimaryDeadline = Clock::now() + m_settings.replacedPrimaryTimeout;
 }
 
 void UpstreamHome::refuseQueued(const Error &error, bool writesOnly)
--- a/src/runtime/upstreams/upstreamhome.h
+++ b/src/runtime/upstreams/upstreamhome.h
@@ -1,7 +1,7 @@
-// The home of one upstream: it alone holds the upstream's connections, decides
-// who gets a slot, makes reads wait until the upstream is fresh enough, keeps
-// each transaction on its own connection, and holds a write's answer back until
-// the commit is confirmed. It lives on one traffic thread.
+// The home of one upstream: the only component that holds connections to it. It assigns
+// the upstream's slots, delays reads until the upstream is fresh enough, keeps each
+// transaction on its own connection, and holds back the answer to a write until the
+// commit is confirmed. It runs on one traffic thread.
 
 #pragma once
 
@@ -38,29 +38,28 @@
 namespace egrettide
 {
 
-// Switches mechanisms off so that tests can show that each one is needed. All
-// false in production.
+// Disables mechanisms, so that tests can show that each one is needed. All false in
+// production.
 struct UpstreamHomeFaults {
-    // Acknowledges a write on the upstream's own word.
+    // Acknowledges a write without confirmation by a majority.
     bool skipConfirmation = false;
-    // Runs reads without asking whether the upstream is fresh enough.
+    // Runs reads without checking that the upstream is fresh enough.
     bool skipFreshness = false;
 };
 
-// Bounds of a home.
+// Limits and timeouts of a home.
 struct UpstreamHomeSettings {
     std::string upstreamUser = "egrettide";
-    // Transaction ids of one run of a host must not match those of another: start
-    // from a random number.
+    // Transaction ids of different runs of a host must not coincide: pass a random number.
     std::uint64_t firstTransaction = 1;
-    // A transaction that sends nothing for this long is rolled back: it holds
-    // locks and one of few connections.
+    // A transaction without a request for this long is rolled back, since it holds locks
+    // and a connection.
     milliseconds idleTransactionTimeout{60000};
     milliseconds openTimeout{2000};
-    // How long a write that a replaced primary has not answered is still waited for.
-    milliseconds replacedPrimaryPatience{300};
+    // How long the home waits for outstanding writes of a replaced primary.
+    milliseconds replacedPrimaryTimeout{300};
     ConnectionBudgetOptions budget;
-    // Whether connections have owners follows from the dialect.
+    // The dialect determines whether connections have owners.
     ConnectionPlanOptions connections;
     SlotSchedulerOptions scheduler;
     GateOptions gate;
@@ -72,19 +71,19 @@
 using CommitHandler = std::function<void(CommitOutcome)>;
 
 struct UpstreamHomeHooks {
-    // Confirms a commit that was sent under a term and after which the upstream
-    // gave this status; the handler may be called from any thread.
+    // Confirms a commit that was sent in the term `sentUnder` and after which the upstream
+    // reported the status `after`. The handler may be called from any thread.
     std::function<void(Term sentUnder, const MemberStatus &after, TimePoint deadline, CommitHandler handler)> awaitCommit;
-    // An answer of the upstream, told now and then; see StatementProof.
+    // An answer of the upstream, reported at most once per interval; see StatementProof.
     std::function<void(const StatementProof &proof)> answered;
-    // Somebody waits for a newer snapshot until then.
+    // A request waits for a newer snapshot until then: asks for frequent rounds.
     std::function<void(TimePoint until)> hurry;
-    // A drained home holds no data connection any more: its successor may take
-    // the whole share.
+    // A drained home holds no data connection any more: its successor may use all
+    // connections.
     std::function<void(const HandBack &handBack)> handedBack;
 };
 
-// Counters since the start, and what is in use now.
+// Counters since the start, and the resources in use now.
 struct UpstreamHomeStats {
     std::string database;
     std::string upstream;
@@ -100,7 +99,7 @@
     std::size_t transactions = 0;
 };
 
-// Used from the thread of its io_context alone, by shared_ptr.
+// Owned by shared_ptr; used only from the thread of its io_context.
 class UpstreamHome : public std::enable_shared_from_this<UpstreamHome>
 {
 public:
@@ -111,35 +110,36 @@
     UpstreamHome(const UpstreamHome &) = delete;
     UpstreamHome &operator=(const UpstreamHome &) = delete;
 
-    // Runs a request. `handler` is called exactly once, at the latest shortly
-    // after the request's deadline. `frontKey` names the front that sent it, for
-    // cancel and abandonFront.
+    // Runs a request. `handler` is called exactly once, at the latest shortly after the
+    // request's deadline. `frontKey` identifies the front (the part of a host that serves
+    // callers) that sent it, for cancel and abandonFront.
     void execute(StatementRequest request, const std::string &frontKey, ReplyHandler handler);
-    // Gives a request up: not run when it was not sent yet, else the upstream is
-    // asked to cancel it and the outcome is unknown (reads: not run).
+    // Gives up a request. One that was not sent yet is answered as not run. For one that
+    // was sent, the upstream is asked to cancel it, and the outcome is unknown (reads:
+    // not run).
     void cancel(const std::string &frontKey, std::uint64_t id);
-    // The front is gone: its requests are given up, its transactions rolled back.
+    // The front has disconnected: gives up its requests and rolls back its transactions.
     void abandonFront(const std::string &frontKey);
 
     void onSnapshot(const std::shared_ptr<const GroupSnapshot> &snapshot);
-    // Ends the home's work when the upstream is no longer configured.
+    // Applies a configuration. If it no longer contains the upstream, the home ends its work.
     void update(std::shared_ptr<const Configuration> configuration);
 
-    // New writes queue from now on; `progress` gets the number of writes and
-    // transactions still in progress, now and whenever it changes.
+    // Queues new writes until resumeWrites. `progress` receives the number of writes and
+    // transactions still in progress, now and after each change.
     void pauseWrites(std::function<void(std::size_t open)> progress);
-    // Queued writes run, or are answered Moved when the primary changed.
+    // Runs the queued writes, or answers them with Moved when the primary has changed.
     void resumeWrites();
 
-    // Takes nothing new but batches of open transactions; `drained` is called
-    // once nothing is in progress and the connections are closed.
+    // Accepts only batches of open transactions from now on. `drained` is called once
+    // nothing is in progress and the connections are closed.
     void drain(std::function<void()> drained);
-    // Ends a drain: this host is home again.
+    // Cancels a drain: this host is the home again.
     void takeBack();
-    // Gives everything up at once.
+    // Gives up all requests and closes all connections at once.
     void close();
 
-    // What other hosts say about the place of home; see ConnectionBudget.
+    // Reports of other hosts about where the home is placed; see ConnectionBudget.
     void confirmedHome(TimePoint askedAt);
     void handedBack(const HandBack &handBack);
     void onClockGap();
@@ -171,11 +171,11 @@
 
     // Answers.
     bool needsConfirmation(const HomeRequest &pending, const BatchAnswer &answer) const;
-    void tellAnswer(const HomeRequest &pending, const BatchAnswer &answer);
-    bool provesLead(const HomeRequest &pending) const;
+    void reportAnswer(const HomeRequest &pending, const BatchAnswer &answer);
+    bool provesPrimary(const HomeRequest &pending) const;
     std::optional<Error> refusalIn(const HomeRequest &pending, const BatchAnswer &answer) const;
     void onWholeAnswer(Ticket ticket, BatchAnswer answer);
-    void settleConnection(Ticket ticket, char state);
+    void returnConnection(Ticket ticket, char state);
     void bindTransaction(HomeRequest &pending);
     void confirm(Ticket ticket, const std::optional<MemberStatus> &status);
     void onCommitOutcome(Ticket ticket, CommitOutcome outcome);
@@ -197,8 +197,8 @@
     void endTransaction(std::uint64_t id);
     void abandonTransaction(std::uint64_t id);
 
-    // Time.
-    void settle();
+    // Progress, timers and limits.
+    void makeProgress();
     std::size_t freeSlots() const;
     std::string ownerOf(const StatementRequest &request) const;
     std::vector<std::string_view> ownersWaiting() const;
@@ -206,9 +206,9 @@
     void onTimer();
     void giveUpOverdue(TimePoint now);
     void giveUpOnReplacedPrimary(TimePoint now);
-    void followAllowance(TimePoint now);
-    void shedSurplus(TimePoint now);
-    void shedTransaction(std::uint64_t id);
+    void applyAllowance(TimePoint now);
+    void closeSurplus(TimePoint now);
+    void closeTransaction(std::uint64_t id);
     void recheckFreshness(TimePoint now);
     void dropIdleTransactions(TimePoint now);
     TimePoint nextEventAt(TimePoint now) const;
@@ -230,31 +230,30 @@
     UpstreamView m_view;
     RequestLedger m_ledger;
     UpstreamPool m_pool;
-    // The number of transactions that the scheduler was last told to allow.
-    int m_transactionPlaces = 1;
+    // The number of transactions that was last set as the scheduler's limit.
+    int m_transactionLimit = 1;
     SlotScheduler m_scheduler;
 
     Ticket m_lastTicket = 0;
     std::uint64_t m_nextTransaction = 1;
     RequestMap m_pending;
-    // Tickets that have a slot and wait to be sent, in order of admission. May
-    // name tickets that have ended meanwhile.
+    // Tickets that hold a slot and wait to be sent, in order of admission. May contain
+    // tickets of requests that have ended.
     std::deque<Ticket> m_ready;
-    // Exactly the tickets in AwaitingFreshness, by recheckAt.
+    // Invariant: exactly the tickets in AwaitingFreshness, ordered by recheckAt.
     std::set<std::pair<TimePoint, Ticket>> m_rechecks;
     std::map<std::uint64_t, HomeTransaction> m_transactions;
-    // Answers to hand out once the state is consistent again: handlers may call
-    // back into this home.
+    // Replies to deliver once the state is consistent: handlers may call back into this
+    // home.
     std::vector<std::pair<ReplyHandler, StatementReply>> m_outbox;
-    // Invariant while settle() runs: true when something may have become possible
-    // since the last step of it.
-    bool m_unsettled = false;
-    bool m_settling = false;
+    // Invariant while makeProgress() runs: true when its loop has to run once more.
+    bool m_mayProgress = false;
+    bool m_makingProgress = false;
 
     Timer m_timer;
     TimePoint m_armedFor = TimePoint::max();
-    // Until when a replaced primary may still answer what it was sent.
-    TimePoint m_patienceUntil = TimePoint::max();
+    // When the outstanding writes of a replaced primary are given up.
+    TimePoint m_replacedPrimaryDeadline = TimePoint::max();
     // Set while writes are paused.
     std::function<void(std::size_t)> m_progress;
     std::optional<std::size_t> m_reportedOpen;
@@ -262,12 +261,13 @@
     std::function<void()> m_drained;
     bool m_draining = false;
     bool m_closed = false;
-    // Rollbacks on behalf of lost fronts that still run.
+    // Rollbacks of abandoned transactions that are still running.
     std::size_t m_rollbacks = 0;
 
-    // When the group's observer is next told of an answer, and of one that proves the lead.
-    TimePoint m_tellAt;
-    TimePoint m_tellLeadAt;
+    // When the next answer is reported to the group's observer, and the next one that
+    // proves that the upstream is the primary.
+    TimePoint m_nextAnswerReportAt;
+    TimePoint m_nextPrimaryReportAt;
     std::uint64_t m_sent = 0;
     std::uint64_t m_answered = 0;
     std::uint64_t m_refused = 0;
--- a/src/runtime/upstreams/upstreamhomeanswers.cpp
+++ b/src/runtime/upstreams/upstreamhomeanswers.cpp
@@ -1,4 +1,5 @@
-// The home of one upstream: answers, held commits, ends of requests, transactions.
+// The home of one upstream: answers, confirmation of commits, ends of requests and
+// transactions.
 
 #include "runtime/upstreams/upstreamhome.h"
 
@@ -17,14 +18,15 @@
 namespace
 {
 
-// How long rounds are asked for at the fast pace after a connection broke.
-constexpr milliseconds proofPatience{2000};
-// How long a rollback on behalf of a front that is gone may take before its
-// connection is closed instead.
+// How long frequent rounds are requested after a connection was lost.
+constexpr milliseconds frequentRoundsDuration{2000};
+// How long the rollback of an abandoned transaction may take before its connection is
+// closed instead.
 constexpr milliseconds rollbackTimeout{2000};
-// Answers are told to the group's observer this far apart: each costs the control thread
-// a turn, and a position that is 100 ms older still serves reads of 200 ms.
-constexpr milliseconds tellSpacing{100};
+// The least interval between two reports to the group's observer: each report costs work
+// on the control thread, and a position that is 100 ms old still serves reads with a
+// staleness bound of 200 ms.
+constexpr milliseconds answerReportInterval{100};
 
 } // namespace
 
@@ -40,14 +42,14 @@
     const auto transaction = m_transactions.find(pending.request.transaction);
     const bool readOnly =
         kind == StatementKind::BeginReadOnly || (transaction != m_transactions.end() && transaction->second.readOnly);
-    // A replica takes no writes, so a read-only transaction there has none.
+    // A replica accepts no writes, so a read-only transaction there has nothing to confirm.
     const bool onReplica = answer.status && answer.status->role == UpstreamRole::Replica;
     return !(readOnly && onReplica);
 }
 
-// What to tell the front when the upstream says that nothing ran. Only an idle
-// connection is as it was before; what fails inside a transaction is the
-// transaction's own matter, unless the upstream has lost the lead.
+// The error for the front when the upstream reports that nothing ran. This holds only if
+// the connection is idle; an error inside a transaction is passed on as the upstream's
+// answer, unless the upstream is no longer the primary.
 std::optional<Error> UpstreamHome::refusalIn(const HomeRequest &pending, const BatchAnswer &answer) const
 {
     if (!answer.refusal) {
@@ -66,8 +68,8 @@
     }
 }
 
-// Statements that an upstream which does not lead refuses.
-bool UpstreamHome::provesLead(const HomeRequest &pending) const
+// True for statements that an upstream refuses unless it is the primary.
+bool UpstreamHome::provesPrimary(const HomeRequest &pending) const
 {
     const StatementRequest &request = pending.request;
     if (!m_settings.dialect->leaderProvesItself || request.transaction != 0) {
@@ -77,19 +79,19 @@
     return isChecked || request.kind == StatementKind::Write || request.kind == StatementKind::Begin;
 }
 
-// What an answer tells need not be asked for.
-void UpstreamHome::tellAnswer(const HomeRequest &pending, const BatchAnswer &answer)
+// Reports the status in an answer to the observer, which then need not query it.
+void UpstreamHome::reportAnswer(const HomeRequest &pending, const BatchAnswer &answer)
 {
     if (!m_hooks.answered || !m_settings.dialect->leaderProvesItself || !answer.status || !answer.errorCode.empty()) {
         return;
     }
     const TimePoint now = Clock::now();
-    const bool leads = provesLead(pending);
-    TimePoint &due = leads ? m_tellLeadAt : m_tellAt;
+    const bool leads = provesPrimary(pending);
+    TimePoint &due = leads ? m_nextPrimaryReportAt : m_nextAnswerReportAt;
     if (now < due) {
         return;
     }
-    due = now + tellSpacing;
+    due = now + answerReportInterval;
     m_hooks.answered(StatementProof{*answer.status, pending.sentAt, leads});
 }
 
@@ -100,17 +102,17 @@
         m_view.onStatus(*answer.status, pending.sentAt);
     }
     if (const auto refused = refusalIn(pending, answer)) {
-        settleConnection(ticket, answer.state);
+        returnConnection(ticket, answer.state);
         m_ledger.notRun(pending.attempt, *refused, false, Clock::now());
         if (refused->kind == ErrorKind::Moved && m_hooks.hurry) {
             m_hooks.hurry(Clock::now() + homeerrors::retrySoon);
         }
-        // Proven not to have run, so it may be sent elsewhere.
+        // It is proven not to have run, so the front may send it to another upstream.
         pending.sent = false;
         finish(ticket, *refused);
         return;
     }
-    tellAnswer(pending, answer);
+    reportAnswer(pending, answer);
     const bool confirms = needsConfirmation(pending, answer);
     if (confirms && !answer.status && pending.connection->usable()) {
         askStatusAgain(ticket, std::move(answer));
@@ -119,7 +121,7 @@
     pending.reply.bytes = std::move(answer.bytes);
     pending.reply.transactionState = answer.state;
     pending.reply.seen = seenBy(pending, answer.status);
-    settleConnection(ticket, answer.state);
+    returnConnection(ticket, answer.state);
     m_ledger.answered(pending.attempt, confirms);
     if (confirms) {
         confirm(ticket, answer.status);
@@ -128,8 +130,8 @@
     }
 }
 
-// A batch that ended a transaction against expectation was sent without a
-// question for the status: asked now, it still comes after the commit.
+// A batch that ended a transaction unexpectedly was sent without a status query. A status
+// queried now is still taken after the commit.
 void UpstreamHome::askStatusAgain(Ticket ticket, BatchAnswer answer)
 {
     const HomeRequest &pending = m_pending.at(ticket);
@@ -157,19 +159,19 @@
 std::optional<LogMark> UpstreamHome::seenBy(const HomeRequest &pending, const std::optional<MemberStatus> &status) const
 {
     if (!status) {
-        // The floor alone proves nothing about this answer: handed back, it would
-        // make a session that arrived without a token count as known.
+        // The floor is not a mark that this answer has seen. If it were returned, a session
+        // that arrived without a token would count as one whose floor is complete.
         return std::nullopt;
     }
-    // A write's own mark is at or before `received`; what a read saw is at or
-    // before `replayed`, as both were taken after it ran.
+    // Both marks were taken after the statement ran: the mark of a write is at or before
+    // `received`, and the state that a read saw is at or before `replayed`.
     const LogMark mark = runsOnReplicas(pending.request) ? status->replayed : status->received;
     return std::max(pending.request.freshness.floor.value_or(mark), mark);
 }
 
-// After an answer: the slot is free, and the connection goes to its transaction
-// or back to the pool.
-void UpstreamHome::settleConnection(Ticket ticket, char state)
+// After an answer: releases the slot. The connection stays with its open transaction or
+// returns to the pool.
+void UpstreamHome::returnConnection(Ticket ticket, char state)
 {
     HomeRequest &pending = m_pending.at(ticket);
     const Connection connection = std::exchange(pending.connection, nullptr);
@@ -192,7 +194,7 @@
     release(ticket, pending, Clock::now() - pending.sentAt);
 }
 
-// A transaction has begun: the connection is its own until it ends.
+// A transaction has begun: reserves the connection for it until it ends.
 void UpstreamHome::bindTransaction(HomeRequest &pending)
 {
     const std::uint64_t id = m_nextTransaction++;
@@ -219,7 +221,7 @@
         asio::post(context, [weak, ticket, outcome] {
             if (const auto self = weak.lock()) {
                 self->onCommitOutcome(ticket, outcome);
-                self->settle();
+                self->makeProgress();
             }
         });
     };
@@ -247,7 +249,7 @@
     if (failure.reason == BatchFailure::Reason::Lost) {
         m_view.onConnectionLost(Clock::now());
         if (m_hooks.hurry) {
-            m_hooks.hurry(Clock::now() + proofPatience);
+            m_hooks.hurry(Clock::now() + frequentRoundsDuration);
         }
     }
     const auto actions = m_ledger.hopBroken(ticket, homeerrors::retrySoon, Clock::now());
@@ -261,8 +263,8 @@
         error = *actions.front().error;
     }
     if (repeatable) {
-        // Whether to send it again, and where, is for the front to say: its retry
-        // budget counts, and it knows the other upstreams.
+        // The front decides whether and where to send it again: it holds the retry budget
+        // and the state of the other upstreams.
         m_ledger.refuse(ticket, error);
     }
     finish(ticket, error);
@@ -280,9 +282,9 @@
     finish(ticket, error);
 }
 
-// Ends a request at once, wherever it is. What was sent and may have written has
-// an unknown outcome; its connection is closed, so that a late answer reaches
-// nobody.
+// Ends a request at once in any stage. A request that was sent and may have written has
+// an unknown outcome. Its connection is closed, so that a late answer is not delivered to
+// another request.
 void UpstreamHome::giveUp(Ticket ticket, const Error &reason)
 {
     const auto found = m_pending.find(ticket);
@@ -292,14 +294,14 @@
     const bool sentRead = found->second.sent && isRead(found->second.request.kind);
     const LedgerAction action = m_ledger.giveUp(ticket, reason);
     if (sentRead) {
-        // A read changes nothing, so nothing about it is unknown.
+        // A read changes nothing, so its outcome is never unknown.
         finish(ticket, homeerrors::readGivenUp(reason.kind));
         return;
     }
     finish(ticket, action.error.value_or(reason));
 }
 
-// The one place where a request ends: takes back what it holds and answers it.
+// The only place where a request ends: releases the resources it holds and answers it.
 void UpstreamHome::finish(Ticket ticket, std::optional<Error> error)
 {
     auto node = m_pending.extract(ticket);
@@ -319,7 +321,7 @@
         transaction->second.ticket = 0;
     }
     if (connection) {
-        // It was running: the answer is outstanding.
+        // The request is running and its answer is outstanding.
         if (transaction != m_transactions.end()) {
             endTransaction(pending.request.transaction);
         }
@@ -337,7 +339,7 @@
     replyTo(std::move(pending.handler), std::move(reply), pending.request.className);
 }
 
-// Gives the slot back, and the place of a transaction that did not come about.
+// Releases the slot, and the reservation of a transaction that was not opened.
 void UpstreamHome::release(Ticket ticket, HomeRequest &pending, std::chrono::nanoseconds serviceTime)
 {
     const TimePoint now = Clock::now();
@@ -351,7 +353,7 @@
     }
 }
 
-// A refused statement leaves the transaction that it belongs to as it was.
+// A refused statement leaves its transaction unchanged.
 void UpstreamHome::keepTransaction(StatementReply &reply, std::uint64_t id, const std::string &frontKey) const
 {
     const auto found = m_transactions.find(id);
@@ -396,7 +398,7 @@
     }
 }
 
-// Rolls a transaction back for a front that is gone or has fallen silent.
+// Rolls back a transaction whose front has disconnected or that was idle for too long.
 void UpstreamHome::abandonTransaction(std::uint64_t id)
 {
     const Connection connection = m_transactions.at(id).connection;
@@ -413,7 +415,7 @@
         if (const auto self = weak.lock()) {
             --self->m_rollbacks;
             self->m_pool.put(connection);
-            self->settle();
+            self->makeProgress();
         }
     });
 }
@@ -426,14 +428,14 @@
     if (found != m_pending.end()) {
         giveUp(found->first, homeerrors::cancelled());
     }
-    settle();
+    makeProgress();
 }
 
 void UpstreamHome::abandonFront(const std::string &frontKey)
 {
     std::vector<Ticket> tickets;
     for (const auto &[ticket, pending] : m_pending) {
-        // An answered write may still be confirmed; nobody waits for it, so it ends too.
+        // Includes answered writes that await confirmation: no front waits for them.
         if (pending.frontKey == frontKey) {
             tickets.push_back(ticket);
         }
@@ -450,7 +452,7 @@
     for (const std::uint64_t id : transactions) {
         abandonTransaction(id);
     }
-    settle();
+    makeProgress();
 }
 
 } // namespace egrettide
--- a/src/runtime/upstreams/upstreamhomeupkeep.cpp
+++ b/src/runtime/upstreams/upstreamhomeupkeep.cpp
@@ -1,4 +1,4 @@
-// The home of one upstream: what time brings, and what operators ask for.
+// The home of one upstream: timers, limits, pauses and drains.
 
 #include "runtime/upstreams/upstreamhome.h"
 
@@ -10,28 +10,29 @@
 namespace egrettide
 {
 
-// ---- Time
+// ---- Progress and timers
 
-// Carries on with everything that a change has made possible, then answers. All
-// entries end here; handlers that call back in are taken up by the outer call.
-void UpstreamHome::settle()
+// Starts the work that a change has made possible, then delivers the replies. Every entry
+// point ends with this call. If a handler calls back into the home, the outer call
+// processes the new work.
+void UpstreamHome::makeProgress()
 {
-    m_unsettled = true;
-    if (m_settling) {
+    m_mayProgress = true;
+    if (m_makingProgress) {
         return;
     }
     const auto keepAlive = shared_from_this();
-    m_settling = true;
+    m_makingProgress = true;
     do {
-        m_unsettled = false;
-        followAllowance(Clock::now());
+        m_mayProgress = false;
+        applyAllowance(Clock::now());
         sendReady();
         m_pool.balance(ownersWaiting(), freeSlots(), Clock::now());
         flushOutbox();
-    } while (m_unsettled || !m_outbox.empty());
+    } while (m_mayProgress || !m_outbox.empty());
     reportProgress();
     finishDrain();
-    m_settling = false;
+    m_makingProgress = false;
     armTimer();
 }
 
@@ -57,7 +58,7 @@
     for (const auto &[id, transaction] : m_transactions) {
         next = std::min(next, transaction.ticket == 0 ? transaction.idleDeadline : TimePoint::max());
     }
-    return std::min(next, m_patienceUntil);
+    return std::min(next, m_replacedPrimaryDeadline);
 }
 
 void UpstreamHome::armTimer()
@@ -65,8 +66,7 @@
     if (m_closed) {
         return;
     }
-    // A timer that is set too early costs one look; setting it anew for each
-    // request would cost more.
+    // A timer that fires too early costs less than one that is set again for each request.
     const TimePoint next = nextEventAt(Clock::now());
     if (next >= m_armedFor) {
         return;
@@ -90,8 +90,8 @@
     apply(m_scheduler.expire(now));
     recheckFreshness(now);
     dropIdleTransactions(now);
-    shedSurplus(now);
-    settle();
+    closeSurplus(now);
+    makeProgress();
 }
 
 void UpstreamHome::giveUpOverdue(TimePoint now)
@@ -103,14 +103,14 @@
     }
 }
 
-// A replaced primary may be frozen with statements outstanding: after a while
-// their callers are told that the outcome is unknown.
+// A replaced primary may be frozen with writes outstanding: after the timeout these are
+// answered with an unknown outcome.
 void UpstreamHome::giveUpOnReplacedPrimary(TimePoint now)
 {
-    if (now < m_patienceUntil) {
+    if (now < m_replacedPrimaryDeadline) {
         return;
     }
-    m_patienceUntil = TimePoint::max();
+    m_replacedPrimaryDeadline = TimePoint::max();
     std::vector<Ticket> stuck;
     for (const auto &[ticket, pending] : m_pending) {
         const bool sentBefore = pending.stage == RequestStage::Running && pending.sentUnder < m_view.term();
@@ -151,10 +151,10 @@
     }
 }
 
-// What goes wrong: this host is no longer confirmed as the home, and another one
-// may hold connections, too; the upstream would refuse the control connections
-// of observers. So what exceeds the share is closed in time even if it is busy.
-void UpstreamHome::shedSurplus(TimePoint now)
+// Closes the connections beyond the allowance, even busy ones. When this host is no longer
+// confirmed as the home, another host may hold connections too, and the upstream would
+// refuse the control connections of observers.
+void UpstreamHome::closeSurplus(TimePoint now)
 {
     const auto allowance = static_cast<std::size_t>(std::max(0, m_pool.budget().allowance(now)));
     if (now < m_pool.budget().shedsBy(now) || m_pool.size() <= allowance) {
@@ -162,11 +162,11 @@
     }
     m_pool.closeSpare();
     while (m_pool.size() > allowance && !m_transactions.empty()) {
-        shedTransaction(m_transactions.begin()->first);
+        closeTransaction(m_transactions.begin()->first);
     }
 }
 
-void UpstreamHome::shedTransaction(std::uint64_t id)
+void UpstreamHome::closeTransaction(std::uint64_t id)
 {
     const HomeTransaction transaction = m_transactions.at(id);
     if (transaction.ticket != 0) {
@@ -179,7 +179,7 @@
 void UpstreamHome::onClockGap()
 {
     m_pool.budget().suspended(Clock::now());
-    settle();
+    makeProgress();
 }
 
 // ---- Operations
@@ -191,7 +191,7 @@
     m_configuration = std::move(configuration);
     if (!upstream) {
         m_upstream.leaving = true;
-        settle();
+        makeProgress();
         return;
     }
     m_database = *database;
@@ -200,7 +200,7 @@
     if (m_upstream.leaving && !m_view.isPrimary()) {
         refuseQueued(homeerrors::upstreamLeaving(m_upstream.name), false);
     }
-    settle();
+    makeProgress();
 }
 
 void UpstreamHome::pauseWrites(std::function<void(std::size_t open)> progress)
@@ -208,14 +208,14 @@
     m_progress = std::move(progress);
     m_reportedOpen.reset();
     m_scheduler.pause();
-    settle();
+    makeProgress();
 }
 
 void UpstreamHome::resumeWrites()
 {
     m_progress = nullptr;
     apply(m_scheduler.resume(Clock::now()));
-    settle();
+    makeProgress();
 }
 
 std::size_t UpstreamHome::openWrites() const
@@ -252,7 +252,7 @@
     m_drained = std::move(drained);
     m_pool.budget().resign(Clock::now());
     refuseQueued(homeerrors::notHome(m_upstream.name), false);
-    settle();
+    makeProgress();
 }
 
 void UpstreamHome::finishDrain()
@@ -275,7 +275,7 @@
     m_draining = false;
     m_drained = nullptr;
     m_pool.budget().becomeHome(Clock::now());
-    settle();
+    makeProgress();
 }
 
 void UpstreamHome::close()
@@ -291,7 +291,7 @@
     m_transactions.clear();
     m_pool.close();
     m_pool.budget().resign(Clock::now());
-    settle();
+    makeProgress();
     m_closed = true;
     m_timer.cancel();
 }
@@ -299,13 +299,13 @@
 void UpstreamHome::confirmedHome(TimePoint askedAt)
 {
     m_pool.budget().confirmed(askedAt);
-    settle();
+    makeProgress();
 }
 
 void UpstreamHome::handedBack(const HandBack &handBack)
 {
     m_pool.budget().handedBack(handBack, Clock::now());
-    settle();
+    makeProgress();
 }
 
 UpstreamHomeStats UpstreamHome::stats() const
--- a/src/runtime/upstreams/upstreamlink.h
+++ b/src/runtime/upstreams/upstreamlink.h
@@ -1,7 +1,7 @@
-// The interface of one connection to an upstream, whatever protocol it speaks. It
-// runs one batch at a time and hands back the whole answer or nothing: an answer
-// that is cut short, late or too large closes the connection, so that its rest can
-// reach nobody.
+// The interface of a connection to an upstream, independent of the protocol. It runs one
+// batch at a time and returns the whole answer or none: an answer that is incomplete,
+// late or too large closes the connection, so that the rest of it cannot become part of
+// another answer.
 
 #pragma once
 
@@ -29,60 +29,59 @@
     std::string address;
     std::string user = "egrettide";
     std::string database;
-    // The upstream that is expected there; protocols that can check it do.
+    // The upstream that is expected at the address; checked where the protocol allows it.
     std::string upstream;
-    // False to give up batches without a cancel request: worth it for short ones.
+    // False to give up batches without a cancel request, which suits short batches.
     bool sendsCancel = true;
-    // Answers above this are refused: one caller must not take the memory of all.
+    // Larger answers are refused, so that a single caller cannot exhaust the memory.
     std::size_t maxAnswerBytes = std::size_t{64} * 1024 * 1024;
 };
 
-// What a connection is asked to run.
+// A batch to run and how to run it.
 struct BatchOrder {
-    // In the encoding of the connection's own protocol, as the caller's side made
-    // it. Empty to ask for the status alone.
+    // Encoded by the sender in the protocol of the connection. Empty to query only the
+    // status.
     std::string batch;
-    // Prepared first where this connection does not have them yet.
+    // Prepared first unless this connection already has them.
     std::vector<PreparedStatement> prepared;
-    // The values that the session has set. The connection shows the statement these
-    // and no others; see StatementRequest::sessionValues.
+    // The values that the session has set. The statement runs with exactly these; see
+    // StatementRequest::sessionValues.
     std::vector<SessionValue> sessionValues;
-    // The upstream checks that its log holds this mark and refuses otherwise. For
-    // protocols that can carry it; others ignore it.
+    // The upstream refuses the batch unless its log contains this mark. Ignored by
+    // protocols that cannot carry it.
     std::optional<LogMark> requiredMark;
-    // Run the batch only if the upstream says, in the same transaction, that it
-    // leads. For protocols whose upstreams can say so; others ignore it.
+    // The batch runs only if the upstream reports, in the same transaction, that it is the
+    // primary. Ignored by protocols without such a report.
     bool requiresLead = false;
-    // True to ask for the upstream's status right behind the batch, in the same
-    // round trip, where the answer does not carry it anyway.
+    // True to query the upstream's status directly after the batch, in the same round trip,
+    // unless the answer carries it anyway.
     bool askStatus = false;
-    // True to hand out the last row as values, too.
+    // True to also return the last row as values.
     bool keepRow = false;
     // When the batch is given up and the connection is closed.
     TimePoint deadline;
 };
 
-// The whole answer to one batch.
+// The complete answer to a batch.
 struct BatchAnswer {
-    // The whole answer in the protocol's own encoding.
+    // The complete answer in the encoding of the protocol.
     std::string bytes;
-    // 'I' idle, 'T' in a transaction, 'E' in a failed one; after the batch.
+    // The state after the batch: 'I' idle, 'T' in a transaction, 'E' in a failed one.
     char state = 'I';
-    // Set when the upstream says that nothing of the batch ran, and why.
+    // Set when the upstream reports that nothing of the batch ran; states why.
     std::optional<ErrorKind> refusal;
-    // The protocol's own code of the first error, empty when there was none.
+    // The protocol's code of the first error; empty if there was none.
     std::string errorCode;
     // Statements that completed before the first error.
     std::size_t completedStatements = 0;
-    // The columns and the last row of the batch's last result, kept for control
-    // calls alone (BatchOrder::keepRow).
+    // The columns and the last row of the batch's last result; kept only for control
+    // calls (BatchOrder::keepRow).
     std::vector<std::string> columns;
     std::vector<std::optional<std::string>> row;
-    // The upstream's own status taken after the batch, when it was asked for and
-    // could be read.
+    // The upstream's status taken after the batch, if it was requested and could be parsed.
     std::optional<MemberStatus> status;
-    // True when the upstream acknowledges a commit only while it leads, so that no
-    // further proof is needed than its own word.
+    // True when the upstream acknowledges a commit only while it is the primary, so that
+    // the commit needs no further confirmation.
     bool leadProven = false;
 };
 
@@ -95,7 +94,7 @@
     std::string message;
 };
 
-// A connection of one io_context, used from its thread alone.
+// A connection on one io_context, used only from its thread.
 class UpstreamLink
 {
 public:
@@ -112,22 +111,22 @@
     // a failure the connection is closed.
     virtual void run(BatchOrder order, BatchHandler handler) = 0;
 
-    // Answers the batch in progress at once with GivenUp, asks the upstream to
-    // cancel it where the protocol can, and closes: its answer may still come and
-    // must reach nobody.
+    // Ends the batch in progress at once with GivenUp, asks the upstream to cancel it
+    // where the protocol allows it, and closes the connection, since a late answer must
+    // not be delivered.
     virtual void giveUp() = 0;
 
     virtual void close() = 0;
 
-    // Closes without a word to anybody: no handler is called, nothing is sent.
-    // For destructors, which may run while the io_context itself is being torn
-    // down and can't start operations any more.
+    // Closes the connection without calling a handler or sending anything. For
+    // destructors, which may run during the destruction of the io_context, when no
+    // operation can be started any more.
     virtual void abandon() = 0;
 
-    // True when a batch may be run on it now.
+    // True when run() may be called now.
     virtual bool usable() const = 0;
     virtual bool busy() const = 0;
-    // True until it is closed, while it is still being opened too.
+    // True until it is closed, also while it is being opened.
     virtual bool isOpen() const = 0;
     // As BatchAnswer::state, after the last batch.
     virtual char transactionState() const = 0;
@@ -137,7 +136,7 @@
     virtual void onIdleLoss(std::function<void()> handler) = 0;
 };
 
-// Makes connections of one protocol that are still to be opened.
+// Creates unopened connections of one protocol.
 using UpstreamLinkFactory =
     std::function<std::shared_ptr<UpstreamLink>(boost::asio::io_context &context, const ConnectionSettings &settings)>;
 
--- a/src/runtime/upstreams/upstreampool.cpp
+++ b/src/runtime/upstreams/upstreampool.cpp
@@ -1,4 +1,4 @@
-// Data connections of one upstream.
+// The data connections to one upstream.
 
 #include "runtime/upstreams/upstreampool.h"
 
@@ -47,7 +47,7 @@
 
 UpstreamPool::Connection UpstreamPool::take(const std::string &owner)
 {
-    // The one used last is the warmest; the others may become surplus.
+    // The most recently used one is taken, so that the others can become surplus.
     for (std::size_t i = m_spare.size(); i-- > 0;) {
         if (m_spare[i].owner != owner) {
             continue;
@@ -64,7 +64,7 @@
     return nullptr;
 }
 
-void UpstreamPool::asked(const std::string &owner, TimePoint now)
+void UpstreamPool::noteRequest(const std::string &owner, TimePoint now)
 {
     m_plan.asked(owner, now);
 }
@@ -114,13 +114,13 @@
 {
     PoolLimits limits;
     limits.allowance = static_cast<std::size_t>(std::max(0, m_budget.allowance(now)));
-    // A connection of one owner is of no use to another: those that are open are kept.
+    // Connections with owners are not interchangeable, so all open ones are kept.
     limits.target = m_perOwner ? limits.allowance : static_cast<std::size_t>(std::max(0, m_budget.target(now)));
     limits.freeSlots = freeSlots;
     return limits;
 }
 
-// Spare ones first, so that a step's place in it is the place in m_spare.
+// Spare connections come first, so that their indexes equal those in m_spare.
 std::vector<PooledConnection> UpstreamPool::listed() const
 {
     std::vector<PooledConnection> all;
@@ -205,7 +205,7 @@
 void UpstreamPool::close()
 {
     closeSpare();
-    // Their handlers are called from within close; the maps must not change then.
+    // close() may call handlers that change the maps, so each map is emptied first.
     for (const auto &[connection, owner] : std::exchange(m_opening, {})) {
         connection->close();
     }
--- a/src/runtime/upstreams/upstreampool.h
+++ b/src/runtime/upstreams/upstreampool.h
@@ -1,6 +1,6 @@
-// The data connections of one upstream: which are open, which are spare, and in whose
-// name. How many there may be is the ConnectionBudget's decision, which ones the
-// ConnectionPlan's.
+// The data connections to one upstream: which are open, which are spare, and who owns
+// them. ConnectionBudget determines their number, ConnectionPlan which ones to open and
+// close.
 
 #pragma once
 
@@ -23,16 +23,16 @@
 namespace egrettide
 {
 
-// Used from the thread of its io_context alone.
+// Used only from the thread of its io_context.
 class UpstreamPool
 {
 public:
     using Connection = std::shared_ptr<UpstreamLink>;
 
     struct Hooks {
-        // A spare connection has come up.
+        // A spare connection has become available.
         std::function<void()> available;
-        // An opening failed; it is tried again while there is demand.
+        // A connection could not be opened; the pool retries while there is demand.
         std::function<void(const Error &)> openFailed;
     };
 
@@ -42,20 +42,20 @@
     UpstreamPool(const UpstreamPool &) = delete;
     UpstreamPool &operator=(const UpstreamPool &) = delete;
 
-    // A spare connection of the owner that is the taker's until put or drop, or null. An
-    // empty owner stands for the settings' own user.
+    // Returns a spare connection of the owner, reserved until put or drop, or null. An
+    // empty owner stands for the user of the settings.
     Connection take(const std::string &owner);
-    // Notes a request of the owner, for the choice of connections to keep.
-    void asked(const std::string &owner, TimePoint now);
-    // Gives a taken connection back. One that is not usable any more is dropped.
+    // Records a request of the owner, for the choice of the connections to keep.
+    void noteRequest(const std::string &owner, TimePoint now);
+    // Returns a taken connection; one that is no longer usable is dropped.
     void put(const Connection &connection);
-    // Closes a taken connection; its answer, if one is outstanding, reaches nobody.
+    // Closes a taken connection; an outstanding answer is discarded.
     void drop(const Connection &connection);
 
-    // Opens and closes connections so that takers can be served and the budget's target is
-    // kept. `waiting` names the owner of each taker that take() had nothing for. An opening
-    // takes a slot of the upstream, so those ahead of demand are begun on `freeSlots` only.
-    // Call it after each change and at nextEventAt().
+    // Opens and closes connections to serve the waiting requests and to keep the budget's
+    // target. `waiting` contains the owner of each request for which take() returned null.
+    // Opening a connection occupies a slot of the upstream, so openings ahead of demand use
+    // `freeSlots` only. To be called after each change and at nextEventAt().
     void balance(const std::vector<std::string_view> &waiting, std::size_t freeSlots, TimePoint now);
     TimePoint nextEventAt(TimePoint now) const;
     void closeSpare();
@@ -91,17 +91,17 @@
     const bool m_perOwner;
     ConnectionPlan m_plan;
     Hooks m_hooks;
-    // Invariant: every connection is in exactly one of the three.
+    // Invariant: every connection is in exactly one of m_opening, m_spare and m_taken.
     OwnedConnections m_opening;
-    // In the order of their last use, longest ago first.
+    // Ordered by last use, least recently used first.
     std::vector<SpareConnection> m_spare;
     OwnedConnections m_taken;
-    // Openings wait until then after a failure, so that a dead upstream is not
-    // asked in a tight loop.
+    // The earliest next opening after a failure, so that a failed upstream is not
+    // contacted in a tight loop.
     TimePoint m_retryAt = TimePoint::min();
     milliseconds m_backoff;
     std::uint64_t m_opened = 0;
-    // Outlives callbacks that come after the pool is gone.
+    // Lets callbacks detect that the pool has been destroyed.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/runtime/upstreams/upstreamview.cpp
+++ b/src/runtime/upstreams/upstreamview.cpp
@@ -31,10 +31,10 @@
     overlayOwnStatus();
 }
 
-// Every answer brings the upstream's own marks, which are newer than the last
-// round's: reads that follow a write need not wait for the next round. Only
-// marks of the same term, taken after the round's, count: an upstream that lost
-// its state in between must not be thought fresher than it is.
+// Each answer carries the upstream's marks, which are newer than those of the last round,
+// so that reads after a write need not wait for the next round. Only marks of the same
+// term that were taken after the round are used: an upstream that has lost its state in
+// between must not appear fresher than it is.
 void UpstreamView::overlayOwnStatus()
 {
     if (!m_ownStatus) {
@@ -55,7 +55,7 @@
     m_connectionLostAt = at;
 }
 
-bool UpstreamView::isPrimarySinceLoss() const
+bool UpstreamView::isPrimaryConfirmedSinceLoss() const
 {
     if (!m_connectionLostAt) {
         return isPrimary();
--- a/src/runtime/upstreams/upstreamview.h
+++ b/src/runtime/upstreams/upstreamview.h
@@ -1,5 +1,5 @@
-// How a home sees its upstream's group: the newest snapshot of the observer, plus
-// what the upstream itself said with its answers since.
+// A home's view of its upstream's group: the observer's newest snapshot, combined with
+// the status in later answers of the upstream itself.
 
 #pragma once
 
@@ -23,26 +23,23 @@
     // The upstream's status, taken after `at`.
     void onStatus(const MemberStatus &status, TimePoint at);
 
-    // A connection to the upstream broke at that moment.
+    // A connection to the upstream was lost at that time.
     void onConnectionLost(TimePoint at);
-    // False from the loss of a connection until a round that began later has
-    // confirmed this upstream as primary.
-    //
-    // What goes wrong without it: the primary dies, and its connections break one
-    // after the other. A write that follows the first loss goes out on the next
-    // connection and its outcome is unknown as well, though the loss was known.
-    // One would notice several unknown outcomes for each failover. Held back, such
-    // writes are not run and go to the successor.
-    bool isPrimarySinceLoss() const;
-
-    // True once a snapshot has come in.
+    // False from the loss of a connection until a round that began later has confirmed
+    // this upstream as the primary. The connections of a failed primary break one after
+    // the other; without this check, a write after the first loss is sent on the next
+    // connection, and one failover causes several unknown outcomes. Writes that are held
+    // back instead do not run and go to the successor.
+    bool isPrimaryConfirmedSinceLoss() const;
+
+    // True once a snapshot has been received.
     bool observed() const;
     // True when the upstream is the confirmed or last known primary.
     bool isPrimary() const;
     const std::string &primary() const;
     Term term() const;
     GateDecision decide(const FreshnessRequest &request, TimePoint now) const;
-    // The group as fronts may know it; `expectedWait` is this upstream's own.
+    // The state of the group for fronts; `expectedWait` is that of this upstream.
     GroupHint hint(milliseconds expectedWait, bool leaving, TimePoint now) const;
 
 private:
--- a/tests/runtime/upstreamview_test.cpp
+++ b/tests/runtime/upstreamview_test.cpp
@@ -1,4 +1,4 @@
-// What a home believes of its upstream after one of its connections broke.
+// Tests of a home's view of its upstream after one of its connections was lost.
 
 #define BOOST_TEST_MODULE UpstreamView
 #include <boost/test/unit_test.hpp>
@@ -30,39 +30,38 @@
 
 BOOST_AUTO_TEST_SUITE(UpstreamViewAfterALoss)
 
-// Symptom: one failover leaves several bookings of one desk with an unknown
-// outcome.
-// Sequence: the primary dies; the loss of its first connection is seen; the next
-// booking goes out on a second connection, which breaks a moment later.
-// Cause: what a round had proved before the loss was still believed after it.
-BOOST_AUTO_TEST_CASE(BelievesNoRoundFromBeforeTheLoss)
+// When the primary fails, its connections break one after the other. If a round from before
+// the first loss still counted, the next write would be sent on another connection that
+// breaks a moment later, and one failover would cause several unknown outcomes.
+BOOST_AUTO_TEST_CASE(IgnoresRoundsFromBeforeTheLoss)
 {
     UpstreamView view("bookings", "a", GateOptions{});
     view.onSnapshot(confirmedAt(start));
-    BOOST_TEST(view.isPrimarySinceLoss(), "no connection was lost yet");
+    BOOST_TEST(view.isPrimaryConfirmedSinceLoss(), "no connection has been lost yet");
     view.onConnectionLost(start + 5ms);
-    BOOST_TEST(!view.isPrimarySinceLoss(), "the round at 0 ms says nothing of a loss at 5 ms");
+    BOOST_TEST(!view.isPrimaryConfirmedSinceLoss(), "the round at 0 ms does not cover a loss at 5 ms");
     view.onSnapshot(confirmedAt(start + 4ms));
-    BOOST_TEST(!view.isPrimarySinceLoss(), "a round that began at 4 ms and was published later says nothing of a loss at 5 ms");
+    BOOST_TEST(!view.isPrimaryConfirmedSinceLoss(),
+               "a round that began at 4 ms and was published later does not cover a loss at 5 ms");
     view.onSnapshot(confirmedAt(start + 6ms));
-    BOOST_TEST(view.isPrimarySinceLoss(), "the round at 6 ms found the primary alive");
+    BOOST_TEST(view.isPrimaryConfirmedSinceLoss(), "the round at 6 ms confirmed the primary");
 }
 
-BOOST_AUTO_TEST_CASE(NeedsAConfirmedRoundAndNotAnyRound)
+BOOST_AUTO_TEST_CASE(NeedsAConfirmedRound)
 {
     UpstreamView view("bookings", "a", GateOptions{});
     view.onConnectionLost(start);
     GroupSnapshot unconfirmed = confirmedAt(start + 6ms);
     unconfirmed.primaryConfirmed = false;
     view.onSnapshot(unconfirmed);
-    BOOST_TEST(!view.isPrimarySinceLoss(), "nobody confirmed the primary after the loss");
+    BOOST_TEST(!view.isPrimaryConfirmedSinceLoss(), "no round has confirmed the primary after the loss");
 }
 
-BOOST_AUTO_TEST_CASE(SaysNoForAnUpstreamThatWasReplaced)
+BOOST_AUTO_TEST_CASE(RejectsAReplacedPrimary)
 {
     UpstreamView view("bookings", "b", GateOptions{});
     view.onSnapshot(confirmedAt(start));
-    BOOST_TEST(!view.isPrimarySinceLoss());
+    BOOST_TEST(!view.isPrimaryConfirmedSinceLoss());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
