--- a/tests/runtime/fakeupstream.h
+++ b/tests/runtime/fakeupstream.h
@@ -1,6 +1,6 @@
-// A PostgreSQL server of a few statements, message by message: enough to check
-// that answers reach their callers whole and in order. It keeps the protocol's
-// rules about errors, Sync, names and portals, and no data.
+// A fake PostgreSQL server that processes the protocol message by message, to check that
+// answers reach their callers complete and in order. It follows the protocol's rules for
+// errors, Sync, statement names and portals, and stores no data.
 
 #pragma once
 
@@ -16,13 +16,13 @@
 namespace egrettide::test
 {
 
-// One connection. Texts that start with BAD do not parse; those that contain FAIL
-// fail when they run; SELECT gives back its own text, `$1` replaced; everything
-// else counts as an INSERT.
+// One connection. Statements that start with BAD do not parse; those that contain FAIL
+// fail when they run; SELECT returns its own text with `$1` replaced; everything else
+// is treated as an INSERT.
 class FakeUpstreamConnection
 {
 public:
-    // `ran` hears of each statement that ran without an error.
+    // `ran` is called for each statement that ran without an error.
     explicit FakeUpstreamConnection(std::function<void(const std::string &sql)> ran) : m_ran(std::move(ran))
     {
     }
--- a/tests/runtime/home_test.cpp
+++ b/tests/runtime/home_test.cpp
@@ -1,4 +1,4 @@
-// The home of an upstream against stand-ins: confirmed writes, fresh reads,
+// Tests of the home of an upstream against stand-ins: confirmed writes, fresh reads,
 // transactions, connections and limits.
 
 #define BOOST_TEST_MODULE Home
@@ -19,8 +19,8 @@
     return "INSERT INTO pitch VALUES (" + std::to_string(id) + ", 'v" + std::to_string(id) + "')";
 }
 
-// Upstreams that hold `mark` by their own word.
-int holders(Cluster &cluster, LogMark mark)
+// The number of upstreams that report a log up to `mark`.
+int holderCount(Cluster &cluster, LogMark mark)
 {
     int count = 0;
     for (const std::string &name : upstreamNames) {
@@ -49,16 +49,15 @@
         const StatementReply reply = cluster.run("a", StatementKind::Write, insert(id));
         BOOST_REQUIRE_MESSAGE(!reply.error, "write " << id << " was not acknowledged: " << textOf(reply));
         BOOST_REQUIRE(reply.seen.has_value());
-        const int count = holders(cluster, *reply.seen);
+        const int count = holderCount(cluster, *reply.seen);
         BOOST_TEST(count >= 2,
                    "the write at " << *reply.seen << " was acknowledged while only " << count << " upstreams held it");
     }
 }
 
-// Symptom: an acknowledged booking is gone after a failover.
-// Sequence: the replicas are cut off; the primary takes a write and answers; the
-// primary dies; a replica that never had the write is promoted.
-// Cause: the answer was passed on before a majority held the write.
+// If an answer is passed on before a majority holds the write, an acknowledged write is
+// lost when the primary fails and a replica without it is promoted. Here the replicas are
+// cut off.
 BOOST_AUTO_TEST_CASE(HaveAnUnknownOutcomeWhileNoMajorityHoldsThem)
 {
     Cluster cluster;
@@ -71,20 +70,18 @@
     BOOST_TEST(reply.sent);
 }
 
-// Symptom: a desk reads "its answer was lost: the deadline passed before anything was
-// sent" and cannot tell whether to book again.
-// Sequence: a booking is sent to a primary that stands still; its deadline passes.
-// Cause: one text for deadlines before and after sending.
-BOOST_AUTO_TEST_CASE(AreNeverSaidToBeUnsentOnceTheyWereSent)
+// A deadline that passes after sending needs its own text. With the text for unsent
+// requests, the caller of a write to a frozen primary cannot decide whether to repeat it.
+BOOST_AUTO_TEST_CASE(AreNeverReportedAsUnsentOnceSent)
 {
     Cluster cluster;
     cluster.createTable();
     cluster.upstream("a").freeze(true);
     const StatementReply reply = cluster.run("a", StatementKind::Write, insert(1), milliseconds{250});
     cluster.upstream("a").freeze(false);
-    BOOST_REQUIRE_MESSAGE(reply.error.has_value(), "a frozen primary answered");
+    BOOST_REQUIRE_MESSAGE(reply.error.has_value(), "a suspended primary answered");
     const bool saysUnsent = reply.error->message.find("before anything was sent") != std::string::npos;
-    BOOST_TEST(saysUnsent == !reply.sent, "sent: " << reply.sent << ", but the caller was told: " << reply.error->message);
+    BOOST_TEST(saysUnsent == !reply.sent, "sent: " << reply.sent << ", but the caller received: " << reply.error->message);
 }
 
 BOOST_AUTO_TEST_CASE(WouldBeAcknowledgedUnprovenWithoutConfirmation)
@@ -96,7 +93,7 @@
     cluster.upstream("b").cut(true);
     cluster.upstream("c").cut(true);
     const StatementReply reply = cluster.run("a", StatementKind::Write, insert(1), milliseconds{400});
-    BOOST_TEST(!reply.error.has_value(), "the proof of confirmation does not notice that the mechanism is off");
+    BOOST_TEST(!reply.error.has_value(), "the test of confirmation does not detect that the mechanism is off");
 }
 
 BOOST_AUTO_TEST_CASE(AreNotSentToAnUpstreamThatIsNoPrimary)
@@ -112,10 +109,9 @@
     BOOST_TEST(cluster.upstream("b").statistics().commits == before);
 }
 
-// Symptom: a booking fails during a failover although nothing of it ran.
-// Sequence: the primary is fenced; a write arrives before its home hears of it.
-// Cause: the upstream's refusal was passed on, or counted as "sent", so that the
-// front did not ask the new primary.
+// A write may reach a fenced primary before its home receives the change. If the
+// upstream's refusal is passed on or counted as sent, the front does not try the new
+// primary, and the write fails although nothing of it ran.
 BOOST_AUTO_TEST_CASE(AtAFencedPrimaryAreNotRunAndMayGoElsewhere)
 {
     Cluster cluster;
@@ -143,10 +139,8 @@
 
 BOOST_AUTO_TEST_SUITE(Reads)
 
-// Symptom: a committee does not see the booking it has just made.
-// Sequence: a write is acknowledged; the next read goes to a replica that has
-// received the write but not replayed it.
-// Cause: the replica was not asked how far it has replayed.
+// A replica may have received a write without having replayed it. Unless its replayed
+// position is checked, a session does not see its own acknowledged write there.
 BOOST_AUTO_TEST_CASE(OnAReplicaSeeTheSessionsOwnWrites)
 {
     ClusterOptions options;
@@ -165,7 +159,7 @@
         }
         ++served;
         BOOST_TEST(rowsOf(reply).size() == 1U, "the replica answered without the session's own write " << id);
-        BOOST_TEST((reply.seen >= written.seen), "the floor fell from " << *written.seen << " to " << *reply.seen);
+        BOOST_TEST((reply.seen >= written.seen), "the floor decreased from " << *written.seen << " to " << *reply.seen);
     }
     BOOST_TEST(served > 0, "no read was served by the replica; waiting for its replay does not work");
 }
@@ -181,7 +175,7 @@
     BOOST_REQUIRE(!written.error.has_value());
     const StatementReply reply = cluster.run(readWithFloor(cluster, "b", "SELECT id FROM pitch WHERE id = 1", written.seen));
     BOOST_TEST((sqlStateIn(reply) == "42P01" || rowsOf(reply).empty()),
-               "the proof of own writes does not notice that the gate is off");
+               "the test of own writes does not detect that the gate is off");
 }
 
 BOOST_AUTO_TEST_CASE(ThatAskForTheLatestStateAreServedByAReplica)
@@ -200,10 +194,8 @@
 
 BOOST_AUTO_TEST_SUITE(Connections)
 
-// Symptom: a caller gets the rows that another caller asked for.
-// Sequence: a read passes its deadline and is answered; its connection goes back
-// to the pool; the late answer comes in as the answer to the next request.
-// Cause: a connection with an answer outstanding was used again.
+// If the connection of a read that passed its deadline returns to the pool, the late answer
+// arrives as the answer to the next request, and a caller gets rows of another one.
 BOOST_AUTO_TEST_CASE(WithAnAnswerOutstandingAreNeverUsedAgain)
 {
     ClusterOptions options;
@@ -292,7 +284,7 @@
     StatementRequest inside = cluster.request("a", StatementKind::Write, insert(1));
     inside.transaction = begun.transaction;
     BOOST_TEST(cluster.run(inside).transaction == begun.transaction);
-    // Others see nothing of it and run outside it.
+    // Other requests do not see its changes and run outside it.
     for (int id = 10; id < 20; ++id) {
         const StatementReply other = cluster.run("a", StatementKind::Write, insert(id));
         BOOST_TEST(!other.error.has_value(), textOf(other));
@@ -305,7 +297,7 @@
     BOOST_TEST(!committed.error.has_value(), textOf(committed));
     BOOST_TEST(committed.transaction == 0U);
     BOOST_REQUIRE(committed.seen.has_value());
-    BOOST_TEST(holders(cluster, *committed.seen) >= 2);
+    BOOST_TEST(holderCount(cluster, *committed.seen) >= 2);
     BOOST_TEST(cluster.idsAtPrimary().size() == 11U);
 }
 
@@ -322,9 +314,7 @@
     BOOST_TEST(!reply.sent);
 }
 
-// Symptom: a branch desk waits for a lock that nobody seems to hold.
-// Sequence: a front dies in the middle of a transaction.
-// Cause: the home kept the transaction open for a front that is gone.
+// If the home keeps the transaction of a front that has failed, its locks are never released.
 BOOST_AUTO_TEST_CASE(AreRolledBackWhenTheirFrontIsGone)
 {
     Cluster cluster;
@@ -344,7 +334,7 @@
     BOOST_TEST((outcomeOf(late.error->kind) == Outcome::NotRun));
 }
 
-BOOST_AUTO_TEST_CASE(ThatFallSilentAreRolledBack)
+BOOST_AUTO_TEST_CASE(ThatStayIdleAreRolledBack)
 {
     ClusterOptions options;
     options.settings.home.idleTransactionTimeout = milliseconds{50};
@@ -359,17 +349,16 @@
             std::this_thread::sleep_for(milliseconds{80});
             return cluster.run(inside).error.has_value();
         },
-        "the rollback of a silent transaction");
+        "the rollback of an idle transaction");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(Requests)
 
-// Symptom: a caller that sends its next statement from within the answer to the
-// last one waits until something else happens at the home.
-// Cause: work that a handler adds while answers are handed out was not taken up.
-BOOST_AUTO_TEST_CASE(SentFromWithinAnAnswerAreTakenUpAtOnce)
+// A reply handler may send the next request. Unless the home processes it in the same pass,
+// it waits until the next unrelated event.
+BOOST_AUTO_TEST_CASE(SentFromAReplyHandlerAreProcessedAtOnce)
 {
     Cluster cluster;
     std::promise<int> done;
@@ -411,9 +400,8 @@
     BOOST_TEST(rowsOf(next).front().front() == "3");
 }
 
-// Symptom: a committee is told "not run" although its charge went through.
-// Sequence: a charge is sent; the connection breaks before the answer.
-// Cause: a lost answer was taken for a request that did not run.
+// When a connection breaks before the answer, the write may have run. Reported as not run,
+// it would be repeated and applied twice.
 BOOST_AUTO_TEST_CASE(WhoseConnectionBreaksHaveAnUnknownOutcomeUnlessTheyOnlyRead)
 {
     ClusterOptions options;
@@ -452,7 +440,8 @@
     std::size_t acknowledged = 0;
     for (auto &write : writes) {
         const StatementReply reply = Cluster::await(std::move(write));
-        BOOST_TEST((!reply.error || outcomeOf(reply.error->kind) == Outcome::NotRun), "a stop cut a write: " << textOf(reply));
+        BOOST_TEST((!reply.error || outcomeOf(reply.error->kind) == Outcome::NotRun),
+                   "the drain interrupted a write: " << textOf(reply));
         acknowledged += reply.error ? 0 : 1;
     }
     BOOST_REQUIRE(drained.get_future().wait_for(patience) == std::future_status::ready);
--- a/tests/runtime/homecluster.h
+++ b/tests/runtime/homecluster.h
@@ -1,6 +1,6 @@
-// A database group of three upstream stand-ins and up to three hosts in one
-// process, each host with a HomeService, a control thread and a traffic thread.
-// Hosts ask each other for opinions and announce by direct calls.
+// A database group of three upstream stand-ins and up to three hosts in one process.
+// Each host has a HomeService, a control thread and a traffic thread. Hosts request
+// opinions and announce primaries by direct calls.
 
 #pragma once
 
@@ -34,7 +34,7 @@
 inline const std::string databaseName = "booking";
 inline const std::array<std::string, 3> upstreamNames{"a", "b", "c"};
 
-// An io_context with a thread of its own.
+// An io_context and the thread that runs it.
 class ContextThread
 {
 public:
@@ -157,7 +157,7 @@
         return *m_hosts.at(homeIndex(upstreamName))->service;
     }
 
-    // Where every host and upstream stands, for failure messages.
+    // The state of all hosts and upstreams, for failure messages.
     std::string describe()
     {
         std::ostringstream out;
@@ -181,7 +181,7 @@
         return out.str();
     }
 
-    // Requests that the home of an upstream has sent to it so far.
+    // The number of requests that the home of an upstream has sent to it.
     std::uint64_t sentBy(const std::string &upstreamName)
     {
         std::promise<std::uint64_t> promise;
@@ -214,19 +214,19 @@
         }
     }
 
-    // Every host's control thread stands still, as if its process were paused.
+    // Blocks the control thread of every host, as if the process were suspended.
     void blockControlThreads(milliseconds time)
     {
-        std::vector<std::future<void>> awake;
+        std::vector<std::future<void>> unblocked;
         for (const auto &host : m_hosts) {
             const auto promise = std::make_shared<std::promise<void>>();
-            awake.push_back(promise->get_future());
+            unblocked.push_back(promise->get_future());
             boost::asio::post(host->control.context(), [promise, time] {
                 std::this_thread::sleep_for(time);
                 promise->set_value();
             });
         }
-        for (auto &future : awake) {
+        for (auto &future : unblocked) {
             future.wait();
         }
     }
@@ -238,7 +238,7 @@
                });
     }
 
-    // Waits until every host's snapshot fulfils `condition`.
+    // Waits until the snapshot of every host satisfies `condition`.
     void awaitSnapshot(const std::function<bool(const GroupSnapshot &)> &condition, const std::string &what)
     {
         awaitTrue(
@@ -298,7 +298,7 @@
         return run(request(upstreamName, kind, sql, timeout));
     }
 
-    // Called from writers' threads, too, where Boost.Test may not be used.
+    // Throws instead of using Boost.Test, which must not be used on the threads of writers.
     static StatementReply await(std::future<StatementReply> future)
     {
         if (future.wait_for(patience) != std::future_status::ready) {
@@ -307,8 +307,8 @@
         return future.get();
     }
 
-    // Writes as a front does: goes where hints point, and tries again only what is
-    // known not to have run.
+    // Writes as a front does: sends to the primary in the snapshot, and retries only
+    // requests that are proven not to have run.
     StatementReply write(const std::string &sql, milliseconds timeout = milliseconds{10000})
     {
         const TimePoint end = Clock::now() + timeout;
@@ -330,7 +330,7 @@
         BOOST_REQUIRE_MESSAGE(!reply.error && sqlStateIn(reply).empty(), "the table was not created: " << textOf(reply));
     }
 
-    // The ids in the table by the current primary.
+    // The ids in the table at the current primary.
     std::vector<std::string> idsAtPrimary()
     {
         StatementReply reply;
--- a/tests/runtime/homeoutcomes_test.cpp
+++ b/tests/runtime/homeoutcomes_test.cpp
@@ -1,5 +1,5 @@
-// What callers are told against what the group holds, over random schedules of
-// writes, cancels, broken links, frozen and cut-off upstreams.
+// Compares the outcomes reported to callers with the data that the group holds, over random
+// schedules of writes, cancels, broken links, frozen and disconnected upstreams.
 
 #define BOOST_TEST_MODULE HomeOutcomes
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
 namespace
 {
 
-// Sockets and timeouts make a case slow; fewer of them still cover the mixture.
+// Reduces the number of cases: each is slow, as it uses sockets and timeouts.
 struct FewerCases {
     FewerCases()
     {
@@ -37,7 +37,7 @@
     std::future<StatementReply> reply;
 };
 
-// One random schedule over one cluster.
+// A random schedule on one cluster.
 class Schedule
 {
 public:
@@ -47,7 +47,7 @@
 
     void run(Step step, int number)
     {
-        // Half of the disturbances hit the primary.
+        // Half of the faults affect the primary.
         const std::string primary = m_cluster.view()->primary;
         const bool hitsPrimary = number % 2 == 0 && !primary.empty();
         const std::string upstream =
@@ -88,7 +88,7 @@
             std::this_thread::sleep_for(milliseconds{number % 10});
             break;
         case Step::LongPause:
-            // Long enough for a failure to be noticed.
+            // Long enough for a failure to be detected.
             std::this_thread::sleep_for(milliseconds{150 + number % 200});
             break;
         }
@@ -144,14 +144,14 @@
     return counts;
 }
 
-// What callers were told, over all cases.
-struct Told {
+// The number of replies of each outcome, over all cases.
+struct OutcomeCounts {
     int acknowledged = 0;
     int notRun = 0;
     int unknown = 0;
 };
 
-void requireTruth(Cluster &cluster, Schedule &schedule, Told &told)
+void requireTrueOutcomes(Cluster &cluster, Schedule &schedule, OutcomeCounts &outcomes)
 {
     std::vector<std::pair<std::vector<int>, StatementReply>> replies;
     for (Sent &sent : schedule.m_sent) {
@@ -166,15 +166,15 @@
         const bool failed = !reply.error && !sqlStateIn(reply).empty();
         const bool acknowledged = !reply.error && !failed;
         const bool notRun = failed || (reply.error && outcomeOf(reply.error->kind) == Outcome::NotRun);
-        (acknowledged ? told.acknowledged : notRun ? told.notRun : told.unknown) += 1;
+        (acknowledged ? outcomes.acknowledged : notRun ? outcomes.notRun : outcomes.unknown) += 1;
         for (const int id : ids) {
             const auto found = counts.find(std::to_string(id));
             const int count = found == counts.end() ? 0 : found->second;
             if (acknowledged && count != 1) {
-                RC_FAIL("charge " + std::to_string(id) + " was acknowledged and is there " + std::to_string(count) + " times");
+                RC_FAIL("charge " + std::to_string(id) + " was acknowledged and is stored " + std::to_string(count) + " times");
             }
             if (notRun && count != 0) {
-                RC_FAIL("charge " + std::to_string(id) + " is there although its caller was told: " + textOf(reply));
+                RC_FAIL("charge " + std::to_string(id) + " is stored although its caller received: " + textOf(reply));
             }
             if (count > 1) {
                 RC_FAIL("charge " + std::to_string(id) + " was applied " + std::to_string(count) + " times");
@@ -189,18 +189,17 @@
 
 BOOST_AUTO_TEST_SUITE(HomeOutcomes)
 
-// Symptom: a family is charged twice, or told "not run" about a charge that ran.
-// Sequence: any mixture of lost answers, cancels, replaced primaries and deadlines.
-// Cause: an outcome was claimed that the home had no proof of.
-BOOST_AUTO_TEST_CASE(AreTrueWhateverHappens)
+// Under lost answers, cancels, replaced primaries and deadlines, a home must not report an
+// outcome without proof: a write that ran but is reported as not run is applied twice.
+BOOST_AUTO_TEST_CASE(MatchTheStoredDataUnderRandomFaults)
 {
     Cluster cluster;
     const StatementReply created = cluster.write("CREATE TABLE charge (id int)");
     BOOST_REQUIRE_MESSAGE(!created.error, textOf(created));
     int firstId = 0;
     int cases = 0;
-    Told told;
-    BOOST_TEST(rc::check("callers are told the truth", [&] {
+    OutcomeCounts outcomes;
+    BOOST_TEST(rc::check("reported outcomes match the stored data", [&] {
         const auto steps = *rc::gen::container<std::vector<std::pair<Step, int>>>(
             30,
             rc::gen::pair(rc::gen::weightedElement<Step>({{12, Step::Write},
@@ -220,15 +219,15 @@
             schedule.run(step, number);
         }
         schedule.heal();
-        requireTruth(cluster, schedule, told);
+        requireTrueOutcomes(cluster, schedule, outcomes);
         ++cases;
     }));
-    BOOST_TEST_MESSAGE("cases: " << cases << ", last term " << cluster.view()->term << ", acknowledged " << told.acknowledged
-                                 << ", not run " << told.notRun << ", unknown " << told.unknown);
-    // Without each of these outcomes the claim was not put to the test.
-    BOOST_TEST(told.acknowledged > 0);
-    BOOST_TEST(told.notRun > 0);
-    BOOST_TEST(told.unknown > 0);
+    BOOST_TEST_MESSAGE("cases: " << cases << ", last term " << cluster.view()->term << ", acknowledged " << outcomes.acknowledged
+                                 << ", not run " << outcomes.notRun << ", unknown " << outcomes.unknown);
+    // The test is meaningful only if each of these outcomes occurred.
+    BOOST_TEST(outcomes.acknowledged > 0);
+    BOOST_TEST(outcomes.notRun > 0);
+    BOOST_TEST(outcomes.unknown > 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/runtime/homeservice_test.cpp
+++ b/tests/runtime/homeservice_test.cpp
@@ -1,4 +1,4 @@
-// Homes and observers of a host over its whole life.
+// Tests of the homes and observers of a host across its start and stop.
 
 #define BOOST_TEST_MODULE HomeService
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
 namespace
 {
 
-// One database whose only upstream answers nobody.
+// One database whose only upstream does not answer.
 std::shared_ptr<const Configuration> oneUpstream()
 {
     UpstreamSpec upstream;
@@ -40,13 +40,11 @@
 
 BOOST_AUTO_TEST_SUITE(HomesOfAHost)
 
-// Symptom: a host ends by a signal at its very end (seen by the address sanitizer, when it
-// was stopped just after its upstreams had started again).
-// Sequence: the host gives its homes up; the control thread still takes a change of
-// registrations and makes new ones; the contexts end.
-// Cause: nobody closed the new homes. What was posted for them was destroyed with
-// its context, and with it the last hold on an observer of a context that was gone.
-BOOST_AUTO_TEST_CASE(AreNotMadeOnceTheHostHasGivenThemUp)
+// A change of registrations that the control thread processes after stop() must not create
+// homes, since these are never closed. Work posted for them is destroyed with its context and
+// releases the last reference to an observer whose context is already destroyed: the host
+// crashed at exit (found by the address sanitizer, stopping just after upstreams restarted).
+BOOST_AUTO_TEST_CASE(AreNotCreatedAfterStop)
 {
     asio::io_context traffic(1);
     asio::io_context control(1);
@@ -58,9 +56,9 @@
         service.stop();
         finishPosted({&traffic, &control});
         service.update(oneUpstream(), everything);
-        BOOST_TEST(service.snapshot(databaseName) == nullptr, "a host that stops took a home again");
+        BOOST_TEST(service.snapshot(databaseName) == nullptr, "a stopped host created a home");
     }
-    BOOST_TEST(traffic.poll() == 0U, "work is left that would be destroyed with its context");
+    BOOST_TEST(traffic.poll() == 0U, "unfinished work would be destroyed with its context");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/runtime/transactionmix_test.cpp
+++ b/tests/runtime/transactionmix_test.cpp
@@ -1,8 +1,8 @@
-// Statements from different transactions are never mixed on one connection: many
-// sessions interleave transactions and single writes over a home with fewer
-// connections than sessions, some vanish, and afterwards the table has to show what
-// a session alone on its connection would have got. The differential test runs the
-// same sessions over a naive pool.
+// Tests that statements of different transactions are never mixed on one connection. Many
+// sessions interleave transactions and single writes on a home with fewer connections than
+// sessions, and some sessions disconnect. Afterwards the table must have the contents that
+// sessions with their own connections would produce. The differential test runs the same
+// sessions on a pool that assigns connections per statement.
 
 #define BOOST_TEST_MODULE TransactionMix
 #include <boost/test/unit_test.hpp>
@@ -23,11 +23,11 @@
 
 constexpr int sessionCount = 8;
 constexpr int stepCount = 400;
-constexpr milliseconds patience{50};
+constexpr milliseconds connectionTimeout{50};
 
 enum class Step { Begin, Write, Commit, Rollback, Vanish };
 
-// Runs one step of one session and says whether it was done.
+// Runs one step of a session; returns whether it succeeded.
 using RunStep = std::function<bool(int session, Step step, const std::string &sql)>;
 
 struct SessionsOutcome {
@@ -38,7 +38,7 @@
     int rollbacks = 0;
     int vanished = 0;
     int single = 0;
-    // Steps taken while at least two transactions were open.
+    // The number of steps while at least two transactions were open.
     int interleaved = 0;
 };
 
@@ -47,7 +47,7 @@
     return "INSERT INTO pitch VALUES (" + id + ", 'x')";
 }
 
-// What sessions do depends on the seed and on what was done alone.
+// The steps depend only on the seed and on the results of earlier steps.
 SessionsOutcome runSessions(std::uint64_t seed, const RunStep &run)
 {
     struct Session {
@@ -105,25 +105,25 @@
     return outcome;
 }
 
-// Ids that are there and should not be, or the other way round.
+// Describes the ids that are present but should not be, and those that are missing.
 std::vector<std::string> wrongIds(const SessionsOutcome &outcome, const std::vector<std::string> &present)
 {
     const std::set<std::string> there(present.begin(), present.end());
     std::vector<std::string> wrong;
     for (const std::string &id : outcome.kept) {
         if (!there.contains(id)) {
-            wrong.push_back(id + " was acknowledged and is gone");
+            wrong.push_back(id + " was acknowledged but is missing");
         }
     }
     for (const std::string &id : outcome.dropped) {
         if (there.contains(id)) {
-            wrong.push_back(id + " was rolled back and is there");
+            wrong.push_back(id + " was rolled back but is present");
         }
     }
     return wrong;
 }
 
-// Sessions over the home of "a", as fronts run them.
+// Runs sessions at the home of "a", as fronts do.
 class HomeSessions
 {
 public:
@@ -146,9 +146,9 @@
         StatementRequest request = m_cluster.request("a", kinds.at(step), sql);
         request.transaction = m_transactions[session];
         if (request.transaction == 0) {
-            // There are more sessions than connections: whoever finds none is refused
-            // soon, or the test would mostly wait.
-            request.deadline = Clock::now() + patience;
+            // There are more sessions than connections. A short deadline keeps sessions
+            // without one from waiting for most of the test.
+            request.deadline = Clock::now() + connectionTimeout;
         }
         const StatementReply reply = m_cluster.run(std::move(request), front);
         m_transactions[session] = reply.transaction;
@@ -160,11 +160,11 @@
     std::map<int, std::uint64_t> m_transactions;
 };
 
-// Two connections, each statement on whichever comes next.
-class NaivePool
+// Two connections that are assigned to statements in turn, ignoring transactions.
+class PerStatementPool
 {
 public:
-    explicit NaivePool(const std::string &endpoint)
+    explicit PerStatementPool(const std::string &endpoint)
     {
         const std::size_t colon = endpoint.find(':');
         const std::string settings = "host=" + endpoint.substr(0, colon) + " port=" + endpoint.substr(colon + 1)
@@ -201,12 +201,12 @@
 
 BOOST_AUTO_TEST_SUITE(Transactions)
 
-BOOST_AUTO_TEST_CASE(AreNeverMixedWhateverSessionsDo)
+BOOST_AUTO_TEST_CASE(AreNeverMixedOnOneConnection)
 {
     for (const std::uint64_t seed : {1, 2}) {
         ClusterOptions options;
-        // A home that nobody confirms uses a quarter of what the control reserve
-        // leaves: 6 connections for 8 sessions.
+        // A home that is not confirmed uses a quarter of the connections beyond the
+        // control reserve: 6 connections for 8 sessions.
         options.connections = 30;
         Cluster cluster(options);
         cluster.createTable();
@@ -216,8 +216,8 @@
         }
         BOOST_TEST_MESSAGE("seed " << seed << ": " << outcome.commits << " commits, " << outcome.rollbacks << " rollbacks, "
                                    << outcome.vanished << " vanished, " << outcome.single << " single writes, "
-                                   << outcome.interleaved << " steps beside two open transactions");
-        // Without these the claim was not put to the test.
+                                   << outcome.interleaved << " steps during two open transactions");
+        // The test is meaningful only if each of these occurred.
         BOOST_TEST(outcome.commits > 5);
         BOOST_TEST(outcome.rollbacks > 5);
         BOOST_TEST(outcome.vanished > 5);
@@ -226,19 +226,18 @@
     }
 }
 
-// Symptom: a booking that was acknowledged is gone when somebody else rolls back.
-// Sequence: two sessions share a connection; one begins, the other writes, the first
-// rolls back.
-// Cause: connections are handed out by statement and not by transaction.
-BOOST_AUTO_TEST_CASE(AreMixedByANaivePool)
+// Shows that the test detects mixed transactions. If connections are assigned per statement,
+// a session writes within the transaction of another one, and its acknowledged write is lost
+// when that one rolls back.
+BOOST_AUTO_TEST_CASE(AreMixedByAPoolThatAssignsPerStatement)
 {
     Cluster cluster;
     cluster.createTable();
-    NaivePool pool(cluster.upstream("a").endpoint());
+    PerStatementPool pool(cluster.upstream("a").endpoint());
     const SessionsOutcome outcome =
         runSessions(1, [&pool](int session, Step step, const std::string &sql) { return pool(session, step, sql); });
     pool.finish();
-    BOOST_TEST(!wrongIds(outcome, cluster.idsAtPrimary()).empty(), "a pool that mixes transactions went unnoticed");
+    BOOST_TEST(!wrongIds(outcome, cluster.idsAtPrimary()).empty(), "the test does not detect a pool that mixes transactions");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/runtime/upstreamconnection_test.cpp
+++ b/tests/runtime/upstreamconnection_test.cpp
@@ -1,5 +1,5 @@
-// One connection to an upstream against a scripted peer: whole answers only, and
-// none that belongs to somebody else.
+// Tests of a connection to an upstream against a scripted peer: it returns only complete
+// answers, and none that belongs to another request.
 
 #define BOOST_TEST_MODULE UpstreamConnection
 #include <boost/test/unit_test.hpp>
@@ -23,11 +23,11 @@
 namespace
 {
 
-constexpr std::chrono::seconds patience{20};
+constexpr std::chrono::seconds maxWait{20};
 constexpr std::uint32_t processId = 4711;
 constexpr std::uint32_t secretKey = 815;
 
-// An upstream that follows a script on a thread of its own, with blocking calls.
+// An upstream that runs a script with blocking calls on its own thread.
 class ScriptedUpstream
 {
 public:
@@ -39,7 +39,7 @@
             try {
                 script(*this);
             } catch (const boost::system::system_error &) {
-                // The connection under test was closed, as most scripts end.
+                // Most scripts end when the connection under test is closed.
             }
         })
     {
@@ -62,7 +62,7 @@
         }
     }
 
-    // For scripts.
+    // The following functions are called by scripts.
     tcp::socket accept()
     {
         return m_acceptor.accept();
@@ -78,12 +78,12 @@
         boost::asio::write(socket, boost::asio::buffer(out));
         return socket;
     }
-    // A startup or cancel message, without its length.
+    // Reads a startup or cancel message; returns it without its length.
     static std::string readPlain(tcp::socket &socket)
     {
         return readPayload(socket);
     }
-    // One message; returns its type.
+    // Reads one message; returns its type.
     static char readMessage(tcp::socket &socket)
     {
         char type = 0;
@@ -124,14 +124,14 @@
         settings.maxAnswerBytes = maxAnswerBytes;
         connection = UpstreamConnection::create(m_context, settings);
         std::optional<bool> opened;
-        connection->open(Clock::now() + patience, [&opened](const auto &result) { opened = result.has_value(); });
+        connection->open(Clock::now() + maxWait, [&opened](const auto &result) { opened = result.has_value(); });
         runUntil([&opened] { return opened.has_value(); });
         BOOST_REQUIRE_MESSAGE(*opened, "the connection did not open");
     }
 
     using Result = tl::expected<BatchAnswer, BatchFailure>;
 
-    void start(const std::string &sql, bool askStatus = false, std::chrono::milliseconds timeout = patience)
+    void start(const std::string &sql, bool askStatus = false, std::chrono::milliseconds timeout = maxWait)
     {
         BatchOrder order;
         pg::appendQuery(order.batch, sql);
@@ -147,7 +147,7 @@
     }
     void runUntil(const std::function<bool()> &condition)
     {
-        const TimePoint end = Clock::now() + patience;
+        const TimePoint end = Clock::now() + maxWait;
         while (!condition()) {
             BOOST_REQUIRE_MESSAGE(Clock::now() < end, "no answer came; the handler must be called by the deadline");
             m_context.restart();
@@ -214,8 +214,8 @@
     }
 }
 
-// Symptom: a statement goes on and holds its slot long after its caller was told
-// that it was given up.
+// Without a cancel request, a statement continues to run and occupies its slot long after it
+// was given up.
 BOOST_AUTO_TEST_CASE(AskTheUpstreamToCancelWhatPassesItsDeadline)
 {
     std::string cancel;
@@ -245,7 +245,7 @@
     BOOST_TEST(reader.uint32().value_or(0) == secretKey);
 }
 
-BOOST_AUTO_TEST_CASE(HandOutNothingOfAnAnswerThatIsCutShort)
+BOOST_AUTO_TEST_CASE(ReturnNothingOfATruncatedAnswer)
 {
     ScriptedUpstream upstream([](ScriptedUpstream &script) {
         tcp::socket socket = script.login();
@@ -256,7 +256,7 @@
     Driver driver(upstream);
     driver.start("SELECT 7");
     const auto result = driver.finish();
-    BOOST_REQUIRE_MESSAGE(!result.has_value(), "half an answer was handed out");
+    BOOST_REQUIRE_MESSAGE(!result.has_value(), "a truncated answer was returned");
     BOOST_TEST((result.error().reason == BatchFailure::Reason::Lost));
 }
 
@@ -275,10 +275,9 @@
     BOOST_TEST(!driver.connection->usable());
 }
 
-// Symptom: a caller finds a row in front of its own answer.
-// Sequence: an upstream sends something while nothing is asked of it.
-// Cause: what came unasked was kept and counted as the start of the next answer.
-BOOST_AUTO_TEST_CASE(AreClosedByAnAnswerThatNobodyAskedFor)
+// Messages that an upstream sends while no batch runs must not be buffered: they would become
+// the start of the next answer.
+BOOST_AUTO_TEST_CASE(AreClosedByAnUnsolicitedAnswer)
 {
     ScriptedUpstream upstream([](ScriptedUpstream &script) {
         tcp::socket socket = script.login();
