--- a/src/runtime/callers/callerconnection.cpp
+++ b/src/runtime/callers/callerconnection.cpp
@@ -1,4 +1,4 @@
-// One caller's connection.
+// Startup, authentication and batches of one caller's connection.
 
 #include "runtime/callers/callerconnection.h"
 
@@ -21,13 +21,14 @@
 constexpr int maxEncryptionRequests = 2;
 constexpr std::uint32_t protocolMajor = 3;
 constexpr std::uint32_t protocolMinorMask = 0xffffU;
-// Answers that the caller has not read yet; beyond it no further batch starts.
+// Limit of unsent answer bytes; no further batch starts above it.
 constexpr std::size_t maxUnsentBytes = std::size_t{1024} * 1024;
-// A larger buffer is given back once it is empty: with thousands of callers, the
-// largest answers that each ever got would add up.
-constexpr std::size_t keptBufferBytes = std::size_t{16} * 1024;
-// How long the caller gets to read the last words.
+// A larger write buffer is released once it is empty: with thousands of callers,
+// buffers of the largest answer that each has received would add up.
+constexpr std::size_t retainedBufferBytes = std::size_t{16} * 1024;
+// How long the caller may take to read the final error and close.
 constexpr milliseconds lingerTime{1000};
+
 std::array<unsigned char, EVP_MAX_MD_SIZE> digestOf(std::string_view text)
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
@@ -35,8 +36,8 @@
     return digest;
 }
 
-// Takes the same time wherever the two differ, and whatever their lengths are:
-// otherwise a caller could find a password out byte by byte.
+// Compares in constant time, whatever the position of the first difference and the
+// lengths: otherwise a caller could guess a password byte by byte.
 bool isSamePassword(std::string_view given, std::string_view expected)
 {
     const auto left = digestOf(given);
@@ -44,9 +45,9 @@
     return CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
-// Its password or any of its keys will do. All are compared, so that the time taken tells
-// nothing.
-bool letsIn(const TenantSpec &tenant, std::string_view given)
+// Accepts the tenant's password or any of its keys. All are compared, so that the
+// time taken reveals nothing.
+bool isAuthorized(const TenantSpec &tenant, std::string_view given)
 {
     bool isKnown = !tenant.password.empty() && isSamePassword(given, tenant.password);
     for (const std::string &key : tenant.keys) {
@@ -70,7 +71,8 @@
     return Error{ErrorKind::Leaving, "Nothing unanswered has run; connect again; egrettide host leaving.", milliseconds{1}};
 }
 
-// A caller may take any class that has no more rights than its tenant's own.
+// A caller may choose any class whose priority and reserved share do not exceed those
+// of its tenant's own class.
 std::vector<std::string> allowedClasses(const Configuration &configuration, const std::string &own)
 {
     std::vector<std::string> allowed{own};
@@ -149,7 +151,7 @@
     if (m_phase == Phase::Closed || m_isReading || m_inputEnded) {
         return false;
     }
-    if (m_phase == Phase::Farewell) {
+    if (m_phase == Phase::Closing) {
         return true;
     }
     const FrontOptions &options = m_shard->common->options;
@@ -166,8 +168,8 @@
                         [self = shared_from_this()](const boost::system::error_code &) { self->onReadable(); });
 }
 
-// Waits first and reads into the shard's buffer then, so that a connection that is
-// idle holds no buffer of its own.
+// Waits for readability first and then reads into the shard's buffer, so that an idle
+// connection needs no buffer.
 void CallerConnection::onReadable()
 {
     m_isReading = false;
@@ -188,14 +190,15 @@
         end(true);
         return;
     }
-    if (m_phase != Phase::Farewell) {
+    if (m_phase != Phase::Closing) {
         m_assembler.feed(std::string_view(m_shard->inbox.data(), count));
         process();
     }
     read();
 }
 
-// Batches that came whole still run: a caller may send and close its side.
+// Batches that were received completely still run: a caller may send them and then
+// close its sending side.
 void CallerConnection::onInputEnd()
 {
     m_inputEnded = true;
@@ -224,13 +227,13 @@
 {
     auto startup = m_assembler.nextStartup();
     if (!startup) {
-        sayFarewell(sqlStateOf(startup.error().kind), startup.error());
+        sendFinalError(sqlStateOf(startup.error().kind), startup.error());
         return false;
     }
     return *startup && onStartup(**startup);
 }
 
-// Returns whether to look for a further startup message.
+// Returns true to parse a further startup message.
 bool CallerConnection::onStartup(const pg::StartupMessage &startup)
 {
     if (startup.code == pg::sslRequestCode || startup.code == pg::gssRequestCode) {
@@ -247,9 +250,9 @@
         return false;
     }
     if (startup.code >> 16U != protocolMajor) {
-        sayFarewell(
-            "0A000",
-            Error{ErrorKind::Unsupported, "Only PostgreSQL protocol version 3 is spoken; use a newer driver.", milliseconds{0}});
+        sendFinalError("0A000",
+                       Error{ErrorKind::Unsupported, "Only PostgreSQL protocol version 3 is supported; use a newer driver.",
+                             milliseconds{0}});
         return false;
     }
     return beginSession(startup);
@@ -259,37 +262,39 @@
 {
     m_startup = std::move(startup);
     if (m_refusal) {
-        sayFarewell(sqlStateOf(m_refusal->kind), *m_refusal);
+        sendFinalError(sqlStateOf(m_refusal->kind), *m_refusal);
         return false;
     }
     if (m_draining) {
-        sayFarewell(sqlStateOf(ErrorKind::Leaving), leavingError());
+        sendFinalError(sqlStateOf(ErrorKind::Leaving), leavingError());
         return false;
     }
     negotiateVersion(m_startup);
     m_configuration = m_shard->configuration();
     if (!m_configuration) {
-        const Error error{ErrorKind::NoConfiguration, "This host has learnt no configuration yet; connect again later.",
+        const Error error{ErrorKind::NoConfiguration, "This host has no configuration yet; connect again later.",
                           m_shard->common->options.noConfigurationRetry};
-        sayFarewell(sqlStateOf(error.kind), error);
+        sendFinalError(sqlStateOf(error.kind), error);
         return false;
     }
     if (parameter(m_startup, "user").empty()) {
-        sayFarewell("28000", Error{ErrorKind::AuthenticationFailed, "No user is named; connect as a tenant.", milliseconds{0}});
+        sendFinalError(
+            "28000",
+            Error{ErrorKind::AuthenticationFailed, "The startup message has no user; connect as a tenant.", milliseconds{0}});
         return false;
     }
     if (!parameter(m_startup, "replication").empty()) {
-        sayFarewell(
-            "0A000",
-            Error{ErrorKind::Unsupported, "Replication connections are not carried; connect to the upstream.", milliseconds{0}});
+        sendFinalError("0A000",
+                       Error{ErrorKind::Unsupported, "Replication connections are not supported; connect to the upstream.",
+                             milliseconds{0}});
         return false;
     }
     authenticate();
     return false;
 }
 
-// A driver that asks for a newer minor version, or for protocol options, is told
-// what is spoken here and goes on with that.
+// A driver that requests a newer minor version or protocol options receives
+// NegotiateProtocolVersion with the supported version and continues with that.
 void CallerConnection::negotiateVersion(const pg::StartupMessage &startup)
 {
     std::vector<std::string_view> unknown;
@@ -327,23 +332,24 @@
 {
     auto message = m_assembler.nextMessage();
     if (!message) {
-        sayFarewell(sqlStateOf(message.error().kind), message.error());
+        sendFinalError(sqlStateOf(message.error().kind), message.error());
         return false;
     }
     if (!*message) {
         return false;
     }
     if ((*message)->type != 'p') {
-        sayFarewell("08P01", Error{ErrorKind::InvalidInput, "A password was expected; send it first.", milliseconds{0}});
+        sendFinalError("08P01",
+                       Error{ErrorKind::InvalidInput, "Expected a password message; authenticate first.", milliseconds{0}});
         return false;
     }
     pg::PayloadReader reader((*message)->payload);
     const auto given = reader.cString();
     const TenantSpec *tenant = m_configuration->tenant(parameter(m_startup, "user"));
-    if (!given || !letsIn(*tenant, *given)) {
-        sayFarewell(
-            "28P01",
-            Error{ErrorKind::AuthenticationFailed, "The password of this tenant is wrong; give the right one.", milliseconds{0}});
+    if (!given || !isAuthorized(*tenant, *given)) {
+        sendFinalError("28P01",
+                       Error{ErrorKind::AuthenticationFailed, "The password of this tenant is wrong; use the correct one.",
+                             milliseconds{0}});
         return false;
     }
     openSession();
@@ -357,16 +363,17 @@
     const std::string &databaseName = named.empty() ? tenant : named;
     const DatabaseSpec *database = m_configuration->database(databaseName);
     if (database == nullptr) {
-        sayFarewell("3D000",
-                    Error{ErrorKind::UnknownDatabase,
-                          "There is no database service \"" + databaseName + "\"; check the name or apply a file that has it.",
-                          milliseconds{0}});
+        sendFinalError("3D000",
+                       Error{ErrorKind::UnknownDatabase,
+                             "There is no database service \"" + databaseName
+                                 + "\"; check the name or apply a configuration that defines it.",
+                             milliseconds{0}});
         return;
     }
     SessionState state(defaultsFor(*m_configuration, *database, tenant), m_shard->common->tokens, m_shard->now());
     auto session = std::make_shared<CallerSession>(m_shard, std::move(state));
     if (auto applied = session->applyStartup(m_startup.parameters); !applied) {
-        sayFarewell(sqlStateOf(applied.error().kind), applied.error());
+        sendFinalError(sqlStateOf(applied.error().kind), applied.error());
         return;
     }
     m_session = std::move(session);
@@ -409,8 +416,8 @@
     }
 }
 
-// Runs what can run now. Answers may come while it runs, so it guards against
-// being entered twice.
+// Runs the queued batches that can start now. An answer may arrive synchronously, so
+// m_isPumping prevents reentry.
 void CallerConnection::pump()
 {
     if (m_isPumping) {
@@ -457,7 +464,7 @@
 void CallerConnection::onIdle()
 {
     if (m_streamError) {
-        sayFarewell(sqlStateOf(m_streamError->kind), *m_streamError);
+        sendFinalError(sqlStateOf(m_streamError->kind), *m_streamError);
         return;
     }
     if (m_inputEnded) {
@@ -465,7 +472,7 @@
         return;
     }
     if (m_draining && m_session->isIdle() && !m_assembler.isMidBatch()) {
-        sayFarewell(sqlStateOf(ErrorKind::Leaving), leavingError());
+        sendFinalError(sqlStateOf(ErrorKind::Leaving), leavingError());
     }
 }
 
@@ -497,7 +504,7 @@
 void CallerConnection::onWritten(const boost::system::error_code &error)
 {
     m_writing.clear();
-    if (m_writing.capacity() > keptBufferBytes) {
+    if (m_writing.capacity() > retainedBufferBytes) {
         m_writing = {};
     }
     if (m_phase == Phase::Closed) {
@@ -508,7 +515,7 @@
         return;
     }
     flush();
-    if (m_phase == Phase::Farewell && m_writing.empty()) {
+    if (m_phase == Phase::Closing && m_writing.empty()) {
         linger();
         return;
     }
@@ -517,37 +524,37 @@
     }
 }
 
-void CallerConnection::sayFarewell(std::string_view sqlState, const Error &error)
+void CallerConnection::sendFinalError(std::string_view sqlState, const Error &error)
 {
-    if (m_phase == Phase::Farewell || m_phase == Phase::Closed) {
+    if (m_phase == Phase::Closing || m_phase == Phase::Closed) {
         return;
     }
-    m_phase = Phase::Farewell;
+    m_phase = Phase::Closing;
     armTimer(m_shard->common->options.startupTimeout);
     if (m_session) {
         m_session->abandon(false);
     }
-    std::string lastWords;
-    pg::appendErrorResponse(lastWords, sqlState, error.message, hintOf(error), true);
-    write(lastWords);
+    std::string finalMessage;
+    pg::appendErrorResponse(finalMessage, sqlState, error.message, hintOf(error), true);
+    write(finalMessage);
     read();
 }
 
-// Answers that are still to be written go out first.
+// Writes the pending answers before it closes.
 void CallerConnection::endAfterOutput()
 {
     if (m_writing.empty()) {
         end(false);
         return;
     }
-    m_phase = Phase::Farewell;
+    m_phase = Phase::Closing;
     armTimer(m_shard->common->options.startupTimeout);
     m_session->abandon(false);
 }
 
-// What goes wrong: closing a socket with unread input makes the kernel reset the
-// connection, and the caller sees the reset in place of the last words. So the
-// caller's input is read and dropped until it closes too, for a bounded time.
+// Reads and discards the caller's input until it closes too, at most for lingerTime.
+// Closing a socket with unread input makes the kernel reset the connection, and the
+// caller would see the reset instead of the final error.
 void CallerConnection::linger()
 {
     if (m_inputEnded) {
--- a/src/runtime/callers/callerconnection.h
+++ b/src/runtime/callers/callerconnection.h
@@ -1,5 +1,5 @@
 // One caller's connection: startup, authentication, reading batches and writing
-// answers, leaving in good order. What the batches do is the session's part.
+// answers, graceful close. CallerSession executes the batches.
 
 #pragma once
 
@@ -24,8 +24,8 @@
 class CallerConnection : public CallerLink, public std::enable_shared_from_this<CallerConnection>
 {
 public:
-    // `refusal`, when set, is what the caller is told instead of being served.
-    // `closed` is called once.
+    // A `refusal`, when set, is sent to the caller as the error that ends the
+    // connection. `closed` is called once.
     CallerConnection(std::shared_ptr<TrafficShard> shard, boost::asio::ip::tcp::socket socket, std::optional<Error> refusal,
                      std::function<void()> closed);
     CallerConnection(const CallerConnection &) = delete;
@@ -41,8 +41,8 @@
         Startup,
         Password,
         Ready,
-        // Only the last words are still to be written and read by the caller.
-        Farewell,
+        // Only the remaining output is still written, and input is discarded.
+        Closing,
         Closed,
     };
     struct QueuedBatch {
@@ -75,8 +75,8 @@
     void write(std::string_view bytes);
     void flush();
     void onWritten(const boost::system::error_code &error);
-    // Says the last words and closes once the caller had the time to read them.
-    void sayFarewell(std::string_view sqlState, const Error &error);
+    // Sends a fatal error and closes once the caller had time to read it.
+    void sendFinalError(std::string_view sqlState, const Error &error);
     void endAfterOutput();
     void linger();
     void end(bool stopRequest);
@@ -85,7 +85,7 @@
     boost::asio::ip::tcp::socket m_socket;
     std::optional<Error> m_refusal;
     std::function<void()> m_closed;
-    // Bounds the startup, and later the farewell.
+    // Bounds the startup, and later the close.
     Timer m_timer;
 
     Phase m_phase = Phase::Startup;
@@ -96,22 +96,22 @@
     std::shared_ptr<CallerSession> m_session;
     CancelKey m_cancelKey;
 
-    // Whole batches that wait for their turn.
+    // Complete batches that have not started.
     std::deque<QueuedBatch> m_queue;
     std::size_t m_queuedBytes = 0;
-    // True while the session works on a batch. Invariant: at most one batch is
-    // under way, so answers leave in the order of the batches.
+    // True while the session runs a batch. Invariant: at most one batch runs at a
+    // time, so answers are sent in the order of the batches.
     bool m_isBusy = false;
     bool m_isPumping = false;
-    // What made the stream unreadable; the connection ends after the batches before it.
+    // The error that made the stream unreadable; the connection ends after the batches before it.
     std::optional<Error> m_streamError;
-    // True when the caller sends nothing any more.
+    // True when the caller has closed its sending side or sent Terminate.
     bool m_inputEnded = false;
     bool m_draining = false;
 
     bool m_isReading = false;
     std::string m_outgoing;
-    // Invariant: not empty exactly while a write is under way.
+    // Invariant: not empty exactly while a write is in progress.
     std::string m_writing;
 };
 
--- a/src/runtime/callers/callerlink.h
+++ b/src/runtime/callers/callerlink.h
@@ -1,5 +1,4 @@
-// The interface of one caller's connection, whatever protocol it speaks, as the
-// front knows it.
+// The front's interface to one caller's connection, independent of its protocol.
 
 #pragma once
 
@@ -18,9 +17,9 @@
     virtual void post(std::function<void()> action) = 0;
 
     virtual void start() = 0;
-    // Ends the connection at the next moment at which nothing is under way.
+    // Ends the connection as soon as no request or transaction is in progress.
     virtual void drain() = 0;
-    // Ends it now.
+    // Ends the connection immediately.
     virtual void close() = 0;
 };
 
--- a/src/runtime/callers/cancelregistry.cpp
+++ b/src/runtime/callers/cancelregistry.cpp
@@ -1,4 +1,4 @@
-// Remembers which connection a cancel request means.
+// Maps cancel keys to connections.
 
 #include "runtime/callers/cancelregistry.h"
 
@@ -12,7 +12,7 @@
 CancelKey CancelRegistry::add(std::function<void()> cancel)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    // Zero is skipped: drivers take it for "no process".
+    // Zero is skipped: drivers interpret it as "no process".
     do {
         ++m_lastProcessId;
     } while (m_lastProcessId == 0 || m_entries.contains(m_lastProcessId));
@@ -38,7 +38,7 @@
         }
         hook = it->second.cancel;
     }
-    // Outside the lock: the hook may end the connection and so remove itself.
+    // Called without the lock: the hook may end the connection, which calls remove().
     hook();
     return true;
 }
--- a/src/runtime/callers/cancelregistry.h
+++ b/src/runtime/callers/cancelregistry.h
@@ -1,6 +1,6 @@
-// Remembers which connection a cancel request means. A cancel request comes over
-// a connection of its own, so it may arrive on another traffic thread than the
-// connection whose request it is to stop.
+// Maps cancel keys to connections. A cancel request arrives over a separate
+// connection, possibly on another traffic thread than the connection whose request
+// it cancels.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 namespace egrettide
 {
 
-// Process id and key that a caller is told at startup.
+// Process id and secret key that the caller receives at startup (BackendKeyData).
 struct CancelKey {
     std::uint32_t processId = 0;
     std::uint32_t secretKey = 0;
@@ -28,12 +28,12 @@
     CancelRegistry(const CancelRegistry &) = delete;
     CancelRegistry &operator=(const CancelRegistry &) = delete;
 
-    // Mints a key under which `cancel` is run. `cancel` is called on the thread
-    // of the cancel request and has to hand over to its own.
+    // Creates a random key for `cancel`. `cancel` is called on the thread of the
+    // cancel request and has to dispatch to the thread of its connection.
     CancelKey add(std::function<void()> cancel);
     void remove(std::uint32_t processId);
-    // Runs the hook of that key. Returns false, and does nothing, for a process id
-    // that is not known or a key that does not match.
+    // Runs the hook of `key`. Returns false, and does nothing, for an unknown
+    // process id or a secret key that does not match.
     bool cancel(const CancelKey &key) const;
 
 private:
@@ -42,9 +42,9 @@
         std::function<void()> cancel;
     };
 
-    // A std::mutex, because ThreadSanitizer cannot see into the packaged absl::Mutex.
+    // A std::mutex, because ThreadSanitizer cannot instrument the packaged absl::Mutex.
     mutable std::mutex m_mutex;
-    // All below is guarded by m_mutex. Keys must not be guessable, or one caller could cancel the requests of others.
+    // Guards all members below. Keys must not be guessable, or one caller could cancel the requests of others.
     std::random_device m_random;
     std::uint32_t m_lastProcessId = 0;
     absl::flat_hash_map<std::uint32_t, Entry> m_entries;
--- a/src/runtime/callers/front.cpp
+++ b/src/runtime/callers/front.cpp
@@ -1,4 +1,4 @@
-// Accepts callers and spreads them over the traffic threads.
+// Accepts callers and distributes them over the traffic threads.
 
 #include "runtime/callers/front.h"
 #include "runtime/host/timer.h"
@@ -21,15 +21,15 @@
 namespace
 {
 
-// After a failed accept, mostly for want of file descriptors, the front waits: an
-// immediate retry would turn the accepting thread into a busy loop.
+// Delay after a failed accept, usually caused by a lack of file descriptors: an
+// immediate retry would make the accepting thread spin.
 constexpr milliseconds acceptRetry{100};
-// Connections beyond the limit that are still told so; more are closed at once.
-constexpr std::size_t refusedConnections = 64;
+// Connections beyond the limit that still receive an error; more are closed immediately.
+constexpr std::size_t maxRefusedConnections = 64;
 
 } // namespace
 
-// What the acceptor, the connections' close handlers and the Front share.
+// State shared by the acceptor, the connections' close handlers and the Front.
 class FrontState : public std::enable_shared_from_this<FrontState>
 {
 public:
@@ -71,9 +71,9 @@
     std::size_t m_nextShard = 0;
     std::uint16_t m_port = 0;
 
-    // A std::mutex, because ThreadSanitizer cannot see into the packaged absl::Mutex.
+    // A std::mutex, because ThreadSanitizer cannot instrument the packaged absl::Mutex.
     mutable std::mutex m_mutex;
-    // Both guarded by m_mutex.
+    // Both are guarded by m_mutex.
     std::uint64_t m_lastConnection = 0;
     Connections m_connections;
 };
@@ -83,8 +83,9 @@
     boost::system::error_code error;
     const auto ip = boost::asio::ip::make_address(address, error);
     if (error) {
-        return tl::unexpected(
-            Error{ErrorKind::InvalidInput, "\"" + address + "\" is no IP address; name the host by IP number.", milliseconds{0}});
+        return tl::unexpected(Error{ErrorKind::InvalidInput,
+                                    "\"" + address + "\" is not an IP address; use the IP address of the host.",
+                                    milliseconds{0}});
     }
     const boost::asio::ip::tcp::endpoint endpoint(ip, port);
     m_acceptor.open(endpoint.protocol(), error);
@@ -142,12 +143,12 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const std::size_t limit = m_common->options.maxConnections;
-        if (m_connections.size() >= limit + refusedConnections) {
+        if (m_connections.size() >= limit + maxRefusedConnections) {
             return;
         }
         if (m_connections.size() >= limit) {
             refusal = Error{ErrorKind::ConnectionLimit,
-                            "This host has all the connections it takes; connect again later or through another host.",
+                            "This host has reached its connection limit; connect again later or through another host.",
                             milliseconds{1000}};
         }
         const std::uint64_t number = ++m_lastConnection;
@@ -193,7 +194,7 @@
 
 void FrontState::beginDrain()
 {
-    // Before the connections are told, so that one that starts now sees it.
+    // Set before the connections are notified, so that one that starts now reads it.
     m_common->draining = true;
     closeAcceptor();
     forEachConnection(&CallerLink::drain);
@@ -220,7 +221,7 @@
 {
     for (const auto &shard : m_shards) {
         boost::asio::post(shard->context, [shard, hint, upstream] {
-            // The router drops hints about databases that it does not know yet.
+            // The router ignores hints about databases that it has no configuration of.
             shard->configuration();
             shard->router.learn(hint, upstream, shard->now());
         });
--- a/src/runtime/callers/front.h
+++ b/src/runtime/callers/front.h
@@ -1,6 +1,6 @@
-// The callers' side of an entry host: accepts PostgreSQL v3 connections, spreads
-// them over the traffic threads and lets them end in good order when the host
-// leaves.
+// The front is the part of a host that serves callers: it accepts their connections,
+// PostgreSQL v3 by default, distributes them over the traffic threads and closes them
+// gracefully when the host leaves.
 
 #pragma once
 
@@ -26,15 +26,15 @@
 namespace egrettide
 {
 
-// What one request was and how it ended, for metrics.
+// One finished request and its result, for metrics.
 struct RequestObservation {
     std::string className;
     std::string tenant;
     std::string database;
     StatementKind kind = StatementKind::Write;
-    // Nothing when the upstream answered, be it with an error of its own.
+    // Empty when the upstream answered, even with an error of its own.
     std::optional<ErrorKind> error;
-    // From receipt to the answer, waits and retries included.
+    // From receipt to answer, waits and retries included.
     std::chrono::microseconds latency{0};
     // The upstream that answered; empty when none did.
     std::string upstream;
@@ -42,27 +42,27 @@
     bool byPrimary = false;
     // Why a read went to the primary, as nameOf(PrimaryReason); empty for all else.
     std::string primaryReason;
-    // How many times it was handed to a home.
+    // How many times the request was sent to a home.
     int attempts = 0;
 };
 
-// What the daemon lends to its front. Hooks are called on traffic threads and
-// must be thread-safe; none may block.
+// Functions that the daemon provides to its front. They are called on traffic threads,
+// must be thread-safe and must not block.
 struct FrontHooks {
-    // The configuration in force, or null while none is known.
+    // The current configuration; null before the first one.
     std::function<std::shared_ptr<const Configuration>()> configuration;
-    // Runs a request at its home. The reply may come on any thread.
+    // Runs a request at the home of its upstream. The reply may arrive on any thread.
     ExecuteHook execute;
-    // Asks the home to stop the request of that id. Its reply still comes.
+    // Asks the home to cancel the request with that id. Its reply still arrives.
     std::function<void(std::uint64_t requestId)> cancel;
-    // Counts a request against the quota of its workspace; the handler gets an error when it
-    // must not start. It may be called on any thread, from within the call too.
+    // Counts a request against the quota of its workspace; the handler receives an error
+    // when the request must not start. It may be called on any thread, also synchronously.
     std::function<void(const std::string &workspace, TimePoint until, std::function<void(tl::expected<void, Error>)> handler)>
         admit =
             [](const std::string &, TimePoint, const std::function<void(tl::expected<void, Error>)> &handler) { handler({}); };
     std::function<TimePoint()> now = [] { return Clock::now(); };
-    // Takes one retry from the budget, or says that there is none left. Without
-    // a budget a failover turns into a storm of retries.
+    // Takes one retry from the budget; false when none is left. Without a budget a
+    // failover causes a retry storm.
     std::function<bool()> takeRetry = [] { return true; };
     std::function<void(const RequestObservation &)> observe = [](const RequestObservation &) {};
 };
@@ -73,62 +73,63 @@
 class TrafficShard;
 } // namespace detail
 
-// Makes the connection of one caller in the callers' protocol. `refusal`, when set,
-// is what the caller is told instead of being served; `closed` is called once.
+// Creates the connection object of one caller. A `refusal`, when set, is sent to the
+// caller as the error that ends the connection; `closed` is called once.
 using CallerLinkFactory = std::function<std::shared_ptr<detail::CallerLink>(
     std::shared_ptr<detail::TrafficShard> shard, boost::asio::ip::tcp::socket socket, std::optional<Error> refusal,
     std::function<void()> closed)>;
 
-// Callers that speak PostgreSQL.
+// Creates connections of the PostgreSQL protocol.
 CallerLinkFactory postgresCallers();
 
-// Switches single safeguards off, for the tests that prove that these are needed.
+// Fault injection: each flag disables one safeguard, for the tests that prove that the
+// safeguard is needed.
 struct FrontFaults {
-    // Takes any reply for the answer to the request under way.
+    // Accepts any reply as the answer to the current request.
     bool takesLateReplies = false;
-    // Says "not run" also of writes that were sent.
+    // Reports "not run" also for writes that were sent.
     bool trustsNotRun = false;
-    // Lets a session go on outside the transaction that it lost.
+    // Lets a session continue outside the transaction that it lost.
     bool forgetsLostTransactions = false;
 };
 
 struct FrontOptions {
-    // The zone of this host; upstreams there are preferred.
+    // The availability zone of this host; its upstreams are preferred.
     std::string zone;
     std::size_t maxConnections = 5000;
-    // The largest batch that is taken from a caller.
+    // The largest batch that is accepted from a caller.
     std::size_t maxBatchBytes = std::size_t{16} * 1024 * 1024;
-    // Batches that wait behind the one under way before the front stops reading.
+    // Queued batches at which the front stops reading from the connection.
     std::size_t maxQueuedBatches = 64;
-    // A connection that has not sent its startup and password by then is closed:
-    // half-open connections would otherwise use up maxConnections.
+    // A connection whose startup and authentication take longer is closed: half-open
+    // connections would otherwise exhaust maxConnections.
     milliseconds startupTimeout{10000};
-    // How long a request that found no primary waits for news of one before it asks again;
-    // twice as long each time, up to the second.
-    //
-    // What goes wrong with equal pauses: all homes of a database are asked by every waiting
-    // caller every 20 ms, 150 times within the second that a promotion takes, and it is
-    // their processors that the promotion waits for. News ends a wait at once, so that the
-    // pause only guards against news that are lost.
+    // Delays before a request that found no primary is retried: the first one, doubled
+    // each time up to the second value. The announcement of a primary ends a wait at once,
+    // so the delay only covers lost announcements.
+    // With a constant delay of 20 ms, each waiting caller sends 150 requests to the homes of
+    // the database within the second that a promotion takes, and this load slows down the
+    // promotion itself.
     milliseconds primaryPoll{20};
     milliseconds longestPrimaryPoll{320};
-    // How long past its deadline a request may stay unanswered by its home before
-    // the front answers the caller itself with an unknown outcome.
+    // How long after its deadline a request may stay unanswered by its home before the
+    // front answers the caller with an unknown outcome.
     milliseconds answerGrace{1000};
-    // Signs session tokens, see SessionTokenCodec; all hosts share it. Empty: a
-    // checksum only.
+    // Signs session tokens, see SessionTokenCodec; the same on all hosts. When empty,
+    // tokens carry only a checksum.
     std::string tokenKey;
-    // True to report egrettide.session after each answer that moves the floor.
+    // True to report egrettide.session after each answer that raises the floor, the mark
+    // that the reads of the session must reach.
     bool reportSession = true;
-    // True for RoutingPolicy::Baseline, to measure against.
+    // True to use RoutingPolicy::Baseline, for comparison measurements.
     bool baselineRouting = false;
-    // How requests are routed; zone and policy follow from the fields above.
+    // Routing options; `zone` and `policy` are set from the fields above.
     RouterOptions router;
-    // Seeds the choice among equal upstreams.
+    // Seed of the random choice among equivalent upstreams.
     std::uint64_t seed = 1;
-    // How long the count of a workspace's quota is waited for.
+    // How long a request waits for the answer of the quota check.
     milliseconds quotaPatience{1000};
-    // What a caller that came before any configuration is told to wait.
+    // The retry delay sent to a caller that connects before the first configuration.
     milliseconds noConfigurationRetry{1000};
     CallerLinkFactory makeCaller = postgresCallers();
     // As UpstreamDialect::rollback.
@@ -157,18 +158,18 @@
     // Starts to accept on an IP address; port 0 picks a free one.
     tl::expected<void, Error> listen(const std::string &address, std::uint16_t port);
     std::uint16_t port() const;
-    // Stops accepting and tells each connection to go as soon as it is idle
-    // outside a transaction: what is under way is finished first.
+    // Stops accepting and closes each connection as soon as it is idle outside a
+    // transaction: requests and transactions in progress finish first.
     void beginDrain();
-    // Tells each connection that is open now to go as soon as it is idle outside a
-    // transaction, and goes on accepting others.
+    // Closes each connection that is open now as soon as it is idle outside a transaction;
+    // continues to accept new ones.
     void moveCallers();
-    // Caller connections that are open now; zero means that a drain is complete.
+    // Number of open caller connections; zero after a complete drain.
     std::size_t openConnections() const;
-    // Closes everything at once.
+    // Closes all connections immediately.
     void stop();
-    // Takes in what the home of `upstream` says of a group, so that routing knows it
-    // before the next answer comes.
+    // Passes a group hint from the home of `upstream` to the routers of all traffic
+    // threads, so that routing uses it before the next answer arrives.
     void learn(const GroupHint &hint, const std::string &upstream);
 
 private:
--- a/src/runtime/callers/primarywaits.h
+++ b/src/runtime/callers/primarywaits.h
@@ -1,4 +1,4 @@
-// Requests of one thread that wait for the primary of their database to become known.
+// Callbacks of one thread's requests that wait until the primary of their database is known.
 
 #pragma once
 
@@ -18,32 +18,32 @@
 class PrimaryWaits
 {
 public:
-    // Keeps `learned` for take() as long as `waiter` lives.
-    void add(const std::string &database, std::weak_ptr<const void> waiter, std::function<void()> learned)
+    // Stores `onPrimary` for take(). The entry may be removed once `waiter` has expired.
+    void add(const std::string &database, std::weak_ptr<const void> waiter, std::function<void()> onPrimary)
     {
         Waits &waits = m_byDatabase[database];
-        if (waits.entries.size() >= waits.forgetAt) {
-            forgetEnded(waits);
+        if (waits.entries.size() >= waits.cleanupThreshold) {
+            removeExpired(waits);
         }
-        waits.entries.push_back({std::move(waiter), std::move(learned)});
+        waits.entries.push_back({std::move(waiter), std::move(onPrimary)});
     }
 
-    // Gives what has to be called now that the primary is known; each is given once.
+    // Removes and returns the callbacks of the database, to be called once its primary is known.
     std::vector<std::function<void()>> take(const std::string &database)
     {
-        std::vector<std::function<void()>> learned;
+        std::vector<std::function<void()>> callbacks;
         const auto found = m_byDatabase.find(database);
         if (found == m_byDatabase.end()) {
-            return learned;
+            return callbacks;
         }
         for (Entry &entry : found->second.entries) {
-            learned.push_back(std::move(entry.learned));
+            callbacks.push_back(std::move(entry.onPrimary));
         }
         m_byDatabase.erase(found);
-        return learned;
+        return callbacks;
     }
 
-    // Entries held for the database, those of waiters that have ended included.
+    // Number of entries of the database, including expired ones that are not removed yet.
     std::size_t held(const std::string &database) const
     {
         const auto found = m_byDatabase.find(database);
@@ -51,24 +51,25 @@
     }
 
 private:
-    // Below this, looking for ended waiters is not worth it.
-    static constexpr std::size_t fewEntries = 64;
+    // With fewer entries the scan for expired waiters is not worth its cost.
+    static constexpr std::size_t minCleanupThreshold = 64;
 
     struct Entry {
         std::weak_ptr<const void> waiter;
-        std::function<void()> learned;
+        std::function<void()> onPrimary;
     };
     struct Waits {
         std::vector<Entry> entries;
-        std::size_t forgetAt = fewEntries;
+        std::size_t cleanupThreshold = minCleanupThreshold;
     };
 
-    // What goes wrong without it: a database has no primary for hours. Every request that
-    // waits for one and gives up leaves an entry, and the process grows until it is ended.
-    static void forgetEnded(Waits &waits)
+    // Removes the entries of requests that have given up. Without it, each of them leaves an
+    // entry while a database has no primary, for hours perhaps, and the process runs out of
+    // memory. Doubling the threshold keeps the amortized cost of add() constant.
+    static void removeExpired(Waits &waits)
     {
         std::erase_if(waits.entries, [](const Entry &entry) { return entry.waiter.expired(); });
-        waits.forgetAt = std::max(fewEntries, 2 * waits.entries.size());
+        waits.cleanupThreshold = std::max(minCleanupThreshold, 2 * waits.entries.size());
     }
 
     absl::flat_hash_map<std::string, Waits> m_byDatabase;
--- a/src/runtime/callers/requestrunner.cpp
+++ b/src/runtime/callers/requestrunner.cpp
@@ -1,4 +1,4 @@
-// Takes one request of a caller to its one answer.
+// Runs one request of a caller until it has exactly one answer.
 
 #include "runtime/callers/requestrunner.h"
 
@@ -33,8 +33,8 @@
     admit([this] { choose(); });
 }
 
-// Asks whether one more request of the workspace may reach an upstream. A transaction counts
-// once, at its start, and so does each time that a request is sent anew after it may have run.
+// Checks the quota of the workspace for one more request. A transaction counts once, at its
+// start. A retry of a request that may have run counts again.
 void RequestRunner::admit(std::function<void()> admitted)
 {
     if (m_request.tenant.empty()) {
@@ -77,8 +77,8 @@
 
 void RequestRunner::send()
 {
-    // Each execution has an id of its own, so that a late answer of an earlier one
-    // is not taken for this one's.
+    // Each execution has its own id, so that a late reply to an earlier one is not used as
+    // the reply to this one.
     const std::uint64_t id = m_shard->common->nextRequestId.fetch_add(1);
     m_request.id = id;
     m_outstanding = id;
@@ -138,9 +138,9 @@
     finish(std::move(reply));
 }
 
-// What goes wrong: the caller was told that the outcome is unknown, and then the
-// home reports a transaction that it opened. Nobody will ever end it; it shows as
-// a connection that stays in a transaction. So it is rolled back here.
+// Rolls back a transaction that a late reply reports as open. The caller has already
+// received an unknown outcome and will not end it, so a connection of the upstream would
+// otherwise stay in the transaction.
 void RequestRunner::onLateReply(const StatementReply &reply)
 {
     if (reply.transaction == 0) {
@@ -151,8 +151,9 @@
     rollBackAtHome(*m_shard, std::move(request));
 }
 
-// The home answers every request by its deadline. If it does not, it or the link to
-// it is gone in a way that nothing reported, and the caller would wait for ever.
+// The home answers every request by its deadline. A missing reply means that the home or
+// the link to it failed without a report; without this timeout the caller would wait
+// forever.
 void RequestRunner::onOverdue(std::uint64_t id)
 {
     if (id != m_outstanding) {
@@ -177,8 +178,8 @@
     return m_shard->now() + m_shard->common->options.primaryPoll < m_request.deadline;
 }
 
-// Half of what is left at most: the last look then still has time to be answered.
-milliseconds RequestRunner::pauseBeforeNextLook() const
+// At most half of the remaining time, so that the last attempt can still be answered.
+milliseconds RequestRunner::nextRetryDelay() const
 {
     const FrontOptions &options = m_shard->common->options;
     milliseconds pause = options.primaryPoll;
@@ -191,30 +192,30 @@
 
 void RequestRunner::waitForPrimary(StatementReply refusal)
 {
-    const std::size_t wait = ++m_waits;
+    const std::size_t wait = ++m_waitCount;
     m_shard->awaitPrimary(m_request.database, weak_from_this(), [weak = weak_from_this(), wait] {
         const auto self = weak.lock();
-        if (self && self->m_waits == wait && self->m_waiting) {
+        if (self && self->m_waitCount == wait && self->m_waiting) {
             self->m_timer.cancel();
-            self->lookAgain();
+            self->retryAfterWait();
         }
     });
     m_waiting = true;
-    m_timer.expires_after(pauseBeforeNextLook());
+    m_timer.expires_after(nextRetryDelay());
     m_timer.async_wait(
         [self = shared_from_this(), wait, refusal = std::move(refusal)](const boost::system::error_code &error) mutable {
-            if (self->m_finished || self->m_waits != wait || !self->m_waiting) {
+            if (self->m_finished || self->m_waitCount != wait || !self->m_waiting) {
                 return;
             }
             if (error) {
                 self->finish(std::move(refusal));
                 return;
             }
-            self->lookAgain();
+            self->retryAfterWait();
         });
 }
 
-void RequestRunner::lookAgain()
+void RequestRunner::retryAfterWait()
 {
     m_waiting = false;
     if (m_finished) {
@@ -231,7 +232,7 @@
         m_shard->common->hooks.cancel(m_outstanding);
         return;
     }
-    finishWith(Error{ErrorKind::DeadlineExceeded, "The caller canceled the request before it was sent; send it again if wanted.",
+    finishWith(Error{ErrorKind::DeadlineExceeded, "The caller canceled the request before it was sent; send it again if needed.",
                      milliseconds{0}});
 }
 
@@ -250,7 +251,8 @@
     }
     m_finished = true;
     m_timer.cancel();
-    // "Not run" may be said only of what never left. For a read it does not matter.
+    // "Not run" may be reported only for a request that was never sent; for reads it makes
+    // no difference.
     const bool claimsNotRun = reply.error && outcomeOf(reply.error->kind) == Outcome::NotRun;
     const bool trusts = m_shard->common->options.faults.trustsNotRun;
     if (claimsNotRun && reply.sent && m_request.kind != StatementKind::Read && !trusts) {
@@ -279,13 +281,13 @@
         observation.upstream = m_request.upstream;
     }
     observation.latency = std::chrono::duration_cast<std::chrono::microseconds>(m_shard->now() - m_startedAt);
-    // The answer may have named the primary only now.
+    // Read after the reply, which may have been the first to name the primary.
     observation.byPrimary = m_shard->router.primary(m_request.database) == m_request.upstream;
     const bool reads = m_request.kind == StatementKind::Read || m_request.kind == StatementKind::BeginReadOnly;
     if (reads && observation.byPrimary) {
         const auto reason = isPinned() ? std::optional(PrimaryReason::Transaction) : m_route.reason;
-        // A route without a reason was meant for a replica: this front had not yet
-        // learnt that the upstream is the primary.
+        // A route without a reason was meant for a replica: this front had no information
+        // yet that the upstream is the primary.
         observation.primaryReason = reason ? nameOf(*reason) : std::string_view("unlearned");
     }
     observation.attempts = m_sends;
--- a/src/runtime/callers/requestrunner.h
+++ b/src/runtime/callers/requestrunner.h
@@ -1,5 +1,5 @@
-// Takes one request of a caller to its one answer: chooses upstreams, hands the
-// request to their homes, tries again where that cannot run it twice, and waits
+// Runs one request of a caller until it has exactly one answer: chooses upstreams,
+// sends the request to their homes, retries where this cannot run it twice, and waits
 // for a new primary while there is none.
 
 #pragma once
@@ -21,17 +21,18 @@
 class RequestRunner : public std::enable_shared_from_this<RequestRunner>
 {
 public:
-    // Gets the reply and the name of the upstream that it came from, on the thread
-    // of the shard and possibly before `start` has returned.
+    // Receives the reply and the name of the upstream that answered, on the thread of
+    // the shard and possibly before `start` has returned.
     using DoneHandler = std::function<void(StatementReply reply, const std::string &upstream)>;
 
-    // `request.upstream` is set for a request of an open transaction and for no other.
+    // `request.upstream` is set only for a request of an open transaction.
     RequestRunner(std::shared_ptr<TrafficShard> shard, StatementRequest request, DoneHandler done);
     RequestRunner(const RequestRunner &) = delete;
     RequestRunner &operator=(const RequestRunner &) = delete;
 
     void start();
-    // Ends a wait at once and asks the home to stop what it has. The answer still comes.
+    // Ends a wait for a primary immediately, or asks the home to cancel the outstanding
+    // execution. `done` is still called.
     void cancel();
 
 private:
@@ -43,9 +44,9 @@
     void onLateReply(const StatementReply &reply);
     void onOverdue(std::uint64_t id);
     bool mayWaitForPrimary(const Error &error, bool sent) const;
-    milliseconds pauseBeforeNextLook() const;
+    milliseconds nextRetryDelay() const;
     void waitForPrimary(StatementReply refusal);
-    void lookAgain();
+    void retryAfterWait();
     void finishWith(Error error);
     void finish(StatementReply reply);
     void observe(const StatementReply &reply) const;
@@ -57,22 +58,23 @@
     RouteAttempts m_attempts;
     Route m_route;
     // The id of the execution that is outstanding, 0 while there is none. A reply
-    // with another id is late and must not be taken for the answer.
+    // with another id is late and must not be used as the answer.
     std::uint64_t m_outstanding = 0;
     int m_sends = 0;
-    // Counts waits for a primary, so that the news that ended one do not end the next.
-    std::size_t m_waits = 0;
+    // Number of waits for a primary, so that a callback of an earlier wait does not end a
+    // later one.
+    std::size_t m_waitCount = 0;
     bool m_waiting = false;
-    // True once a sending has ended without the proof that nothing ran: whatever ends the
-    // request later must not be told as "not run".
+    // True once an attempt ended without proof that nothing ran: a later failure of the
+    // request must not be reported as "not run".
     bool m_mayHaveRun = false;
     bool m_canceled = false;
     bool m_finished = false;
-    // Runs the wait for a primary, or guards an outstanding execution.
+    // Bounds the wait for a primary or for the reply to the outstanding execution.
     Timer m_timer;
 };
 
-// Ends a transaction that its caller can no longer end: the home would otherwise
+// Rolls back a transaction that its caller can no longer end: the home would otherwise
 // keep a connection and the transaction's locks until its own timeout.
 void rollBackAtHome(TrafficShard &shard, StatementRequest request);
 
--- a/src/runtime/callers/trafficshard.h
+++ b/src/runtime/callers/trafficshard.h
@@ -1,6 +1,6 @@
-// What the callers' connections of one traffic thread share: the parser's memory,
-// the router and the random generator. Each thread has its own, so that the path
-// of a request takes no lock.
+// State shared by the callers' connections of one traffic thread: the classifier's
+// cache, the router and the random generator. Each thread has its own, so that the
+// request path takes no lock.
 
 #pragma once
 
@@ -25,7 +25,7 @@
 namespace egrettide::detail
 {
 
-// What all shards of one front share. Everything in it may be used from any thread.
+// State shared by all shards of one front. All members are thread-safe.
 struct FrontCommon {
     FrontCommon(FrontOptions frontOptions, FrontHooks frontHooks)
         : options(std::move(frontOptions))
@@ -47,7 +47,7 @@
     std::atomic<bool> draining{false};
 };
 
-// Used on the thread of `context` alone.
+// Used only on the thread of `context`.
 class TrafficShard
 {
 public:
@@ -68,8 +68,7 @@
         return common->hooks.now();
     }
 
-    // The configuration in force; tells the router about a new one. Null while
-    // none is known.
+    // The current configuration; passes a new one to the router. Null before the first one.
     std::shared_ptr<const Configuration> configuration()
     {
         auto current = common->hooks.configuration();
@@ -80,11 +79,11 @@
         return current;
     }
 
-    // Calls `learned`, later on this thread, when the primary of the database becomes known
-    // or another one, if `waiter` still lives then.
-    void awaitPrimary(const std::string &database, std::weak_ptr<const void> waiter, std::function<void()> learned)
+    // Calls `onPrimary` asynchronously on this thread when the primary of the database becomes
+    // known or changes, unless `waiter` has expired and its entry was removed.
+    void awaitPrimary(const std::string &database, std::weak_ptr<const void> waiter, std::function<void()> onPrimary)
     {
-        m_waits.add(database, std::move(waiter), std::move(learned));
+        m_waits.add(database, std::move(waiter), std::move(onPrimary));
     }
 
     boost::asio::io_context &context;
@@ -92,15 +91,16 @@
     Classifier classifier;
     Router router;
     std::mt19937_64 random;
-    // What a connection reads goes through here at once, so that idle ones need no buffer.
+    // Receive buffer of all connections: input is consumed right after each read, so that
+    // idle connections need no buffer of their own.
     std::array<char, 65536> inbox{};
 
 private:
     void endWaits(const std::string &database)
     {
         boost::asio::post(context, [waits = m_waits.take(database)] {
-            for (const auto &learned : waits) {
-                learned();
+            for (const auto &onPrimary : waits) {
+                onPrimary();
             }
         });
     }
--- a/src/runtime/sessions/callersession.cpp
+++ b/src/runtime/sessions/callersession.cpp
@@ -1,4 +1,4 @@
-// One caller's session behind its connection.
+// Runs the batches of one caller's PostgreSQL session.
 
 #include "runtime/sessions/callersession.h"
 
@@ -190,7 +190,7 @@
     });
     if (plan.end == pg::BatchEnd::Flush && executes && !m_state.inTransaction()) {
         refuse(Error{ErrorKind::Unsupported,
-                     "Flush after Bind or Execute is not carried outside a transaction; send Sync instead.", milliseconds{0}},
+                     "Flush after Bind or Execute is not supported outside a transaction; send Sync instead.", milliseconds{0}},
                plan.end, answer);
         return;
     }
@@ -221,8 +221,8 @@
         return std::nullopt;
     }
     if (known->settings.size() != 1) {
-        return tl::unexpected(
-            Error{ErrorKind::Unsupported, "Only one statement can be prepared at a time; send them singly.", milliseconds{0}});
+        return tl::unexpected(Error{ErrorKind::Unsupported, "Only one statement can be prepared at a time; send them one by one.",
+                                    milliseconds{0}});
     }
     auto prepared = m_settings.prepare(known->settings.front());
     if (!prepared) {
@@ -242,11 +242,11 @@
 CallerSession::BatchKind CallerSession::kindOf(const pg::BatchPlan &plan)
 {
     if (plan.executesUnknown) {
-        // The upstream refuses a portal that it does not know either.
+        // The upstream refuses an unknown portal as well.
         return {StatementKind::Write, false, false};
     }
     if (plan.executed.empty()) {
-        // Only described or closed: nothing runs.
+        // Only Describe or Close messages: nothing is executed.
         return {StatementKind::Read, false, false};
     }
     if (plan.executed.size() > 1) {
@@ -256,7 +256,7 @@
     return {known->kind, known->multiStatement, known->transactionOnly};
 }
 
-// A pipelined batch counts as what its strongest statement may do.
+// The kind of a pipelined batch follows from its statement with the strongest effect.
 CallerSession::BatchKind CallerSession::combinedKind(const pg::BatchPlan &plan)
 {
     BatchKind combined{StatementKind::Read, true, false};
@@ -309,7 +309,7 @@
         refuse(transactionOnlyError(), plan.end, answer);
         return;
     }
-    // Routes by the newest configuration.
+    // Passes the current configuration to the router before the request is routed.
     m_shard->configuration();
     StatementRequest request = requestFor(plan, kind.kind, receivedAt);
     request.mayHoldSeveral = kind.multiStatement;
@@ -381,7 +381,7 @@
     }
     std::string status;
     pg::appendParameterStatus(status, settingnames::session, m_state.token());
-    // A flushed answer has no ReadyForQuery.
+    // The answer to a Flush has no ReadyForQuery.
     const std::size_t tail = pending.plan.end == pg::BatchEnd::Flush ? 0 : readyBytes;
     bytes.insert(bytes.size() - tail, status);
     return bytes;
@@ -393,7 +393,7 @@
     if (m_state.inTransaction()) {
         error = failInTransaction(pending, reply);
     } else if (isBegin(pending.request.kind) && !pending.multiStatement && outcomeOf(error.kind) == Outcome::Unknown) {
-        // The home ends a transaction whose caller it cannot reach.
+        // The home rolls back a transaction whose caller it cannot reach.
         error = Error{ErrorKind::Conflict, "The transaction could not be started; start it again.", milliseconds{0}};
     }
     const bool hasRead = reply.sent && pending.request.kind == StatementKind::Read && outcomeOf(error.kind) == Outcome::NotRun;
--- a/src/runtime/sessions/callersession.h
+++ b/src/runtime/sessions/callersession.h
@@ -1,6 +1,6 @@
-// One caller's session behind its connection: takes a batch, answers it here or
-// has it run at an upstream, and follows transactions, prepared statements and the
-// session's floor.
+// One caller's PostgreSQL session: answers a batch locally or runs it at an upstream,
+// and tracks transactions, prepared statements and the session's floor (the mark that
+// its reads must reach).
 
 #pragma once
 
@@ -18,35 +18,36 @@
 namespace egrettide::detail
 {
 
-// Lives on the thread of its shard. One batch at a time: a connection's batches
-// run strictly in order, as a driver expects.
+// Lives on the thread of its shard. Runs one batch at a time: drivers expect the
+// batches of a connection to run strictly in order.
 class CallerSession : public std::enable_shared_from_this<CallerSession>
 {
 public:
-    // Gets the whole answer to a batch; empty when the batch gets none.
+    // Receives the complete answer to a batch; empty when the batch has none.
     using AnswerHandler = std::function<void(const std::string &answer)>;
 
     CallerSession(std::shared_ptr<TrafficShard> shard, SessionState state);
     CallerSession(const CallerSession &) = delete;
     CallerSession &operator=(const CallerSession &) = delete;
 
-    // Takes the startup parameters; the error ends the connection.
+    // Applies the startup parameters; an error ends the connection.
     tl::expected<void, Error> applyStartup(const SessionState::Parameters &parameters);
-    // ParameterStatus messages for the startup, the session's token among them.
+    // ParameterStatus messages for the startup, including the session token.
     std::string startupStatus() const;
 
-    // Answers one batch that is neither a Terminate nor overtaking another one.
+    // Runs one batch, which must not be a Terminate, and must not start before the
+    // previous batch is answered.
     void run(const pg::CallerBatch &batch, TimePoint receivedAt, const AnswerHandler &answer);
-    // Stops the request under way, if there is one; its answer still comes.
+    // Cancels the current request, if there is one; its answer still arrives.
     void cancel();
-    // The caller is gone: its open transaction is rolled back, if need be when the
-    // request under way has come back. `stopRequest` also cancels that request.
+    // Called when the caller has disconnected: rolls back its open transaction, after the
+    // current request if there is one. `stopRequest` also cancels that request.
     void abandon(bool stopRequest);
-    // True when the session may move to another host without losing anything.
+    // True when the session can move to another host without losing state.
     bool isIdle() const;
 
 private:
-    // What is remembered about the request under way.
+    // Context of the current request.
     struct Pending {
         pg::BatchPlan plan;
         StatementRequest request;
@@ -73,9 +74,9 @@
     Error failInTransaction(const Pending &pending, const StatementReply &reply);
     std::string withToken(std::string bytes, const Pending &pending, const StatementReply &reply);
 
-    // Refuses a batch that never left. An open transaction is rolled back: the
-    // caller may have sent its COMMIT already, and would commit the rest without
-    // the refused part.
+    // Refuses a batch that was not sent. An open transaction is rolled back: the caller
+    // may have sent its COMMIT already, which would commit the transaction without the
+    // refused part.
     void refuse(const Error &error, pg::BatchEnd end, const AnswerHandler &answer);
     void refuseAborted(pg::BatchEnd end, const AnswerHandler &answer);
     std::string errorAnswer(std::string_view sqlState, const Error &error, pg::BatchEnd end, std::string_view hint);
@@ -88,22 +89,22 @@
     pg::SessionStatements m_statements;
     CallerSettings m_settings;
     bool m_isRunning = false;
-    // The request under way; it keeps itself alive, and through its handler this
-    // session, until it is answered.
+    // The current request; it keeps itself, and through its handler this session, alive
+    // until it is answered.
     std::weak_ptr<RequestRunner> m_runner;
-    // As the upstream last said.
+    // Transaction status that the upstream last reported: 'I', 'T' or 'E'.
     char m_upstreamState = 'I';
-    // True when the transaction was rolled back here although the caller has not
-    // ended it. All but COMMIT and ROLLBACK is refused until then.
+    // True when the front rolled the transaction back before the caller ended it. All
+    // statements except COMMIT and ROLLBACK are refused until the caller ends it.
     // Invariant: m_aborted implies that no transaction is open at a home.
     bool m_aborted = false;
-    // True after an error that a Flush and not a Sync followed: everything up to
-    // the next Sync is dropped.
+    // True after an error in a batch that ended with Flush instead of Sync: all messages
+    // up to the next Sync are discarded.
     bool m_skipToSync = false;
     bool m_abandoned = false;
 };
 
-// The hint that states what the caller may conclude from an error.
+// The hint of an error: whether the request ran, and when to retry.
 std::string hintOf(const Error &error);
 
 } // namespace egrettide::detail
--- a/src/runtime/sessions/callersettings.cpp
+++ b/src/runtime/sessions/callersettings.cpp
@@ -1,4 +1,4 @@
-// Answers SET, SHOW, RESET, DISCARD and DEALLOCATE for one caller.
+// Runs SET, SHOW, RESET, DISCARD and DEALLOCATE of one caller.
 
 #include "runtime/sessions/callersettings.h"
 
@@ -20,8 +20,8 @@
     std::string_view value;
 };
 
-// What libpq and JDBC read at startup. These state how upstream connections are
-// set up, so callers cannot change them.
+// Parameters that libpq and JDBC read at startup. They describe how upstream
+// connections are set up, so callers cannot change them.
 constexpr std::array<ReportedSetting, 9> reportedSettings{{
     {"server_version", "15.0 (egrettide)"},
     {"server_encoding", "UTF8"},
@@ -34,9 +34,9 @@
     {"is_superuser", "off"},
 }};
 
-// Parameters of the startup message that name the caller or change nothing that
-// an answer shows. A time zone or date style of the caller's is taken and not
-// followed: values come as ISO texts with their offset, and the reports say so.
+// Startup parameters that identify the caller or do not affect answers. A time zone or
+// date style is accepted but not applied: values are ISO texts with an offset, and the
+// reported parameters say so.
 constexpr std::array<std::string_view, 15> acceptedParameters{
     "user",
     "database",
@@ -77,12 +77,12 @@
 
 Error unsupportedEncoding()
 {
-    return Error{ErrorKind::Unsupported, "Only the client encoding UTF8 is carried; set client_encoding to UTF8.",
+    return Error{ErrorKind::Unsupported, "Only the client encoding UTF8 is supported; set client_encoding to UTF8.",
                  milliseconds{0}};
 }
 
-// What goes wrong otherwise: a caller asks for a search_path, hears nothing, and
-// reads the tables of another schema.
+// Refuses startup settings that would be dropped. If a search_path were ignored without
+// an error, the caller would read the tables of another schema.
 tl::expected<void, Error> checkStartupName(std::string_view name)
 {
     const std::string lower = lowered(name);
@@ -98,7 +98,7 @@
               milliseconds{0}});
 }
 
-// The names that `options` sets, by `-c name=value` or `--name=value`.
+// The names that `options` sets with `-c name=value` or `--name=value`.
 std::vector<std::string> optionNames(const std::string &options)
 {
     std::vector<std::string> names;
@@ -107,7 +107,7 @@
     for (const absl::string_view each : absl::StrSplit(options, absl::ByAnyChar(" \t\n"), absl::SkipEmpty())) {
         std::string_view word(each.data(), each.size());
         const bool isPart = continues;
-        // A blank after a backslash belongs to the value.
+        // A space after a backslash is part of the value.
         continues = word.ends_with('\\');
         if (isPart) {
             continue;
@@ -137,9 +137,9 @@
     : m_session(session), m_statements(statements)
 {
     for (const ReportedSetting &setting : reportedSettings) {
-        m_harmless[lowered(setting.name)] = setting.value;
+        m_localSettings[lowered(setting.name)] = setting.value;
     }
-    m_harmless[std::string(applicationName)] = "";
+    m_localSettings[std::string(applicationName)] = "";
 }
 
 tl::expected<void, Error> CallerSettings::applyStartup(const SessionState::Parameters &parameters)
@@ -158,7 +158,7 @@
             return tl::unexpected(unsupportedEncoding());
         }
         if (name == applicationName) {
-            m_harmless[name] = value;
+            m_localSettings[name] = value;
         }
     }
     return {};
@@ -205,8 +205,8 @@
     return out;
 }
 
-// Tries the setting on a copy: a later statement of the batch must not find it
-// half applied.
+// Validates the setting on a copy of the session, so that an invalid batch is not
+// partly applied.
 tl::expected<void, Error> CallerSettings::check(const Setting &setting) const
 {
     if (setting.action == SettingAction::Set && setting.name == clientEncoding && !isUtf8(setting.value)) {
@@ -258,14 +258,14 @@
 {
     std::string out = commandComplete("SET");
     if (isOwn(setting.name)) {
-        static_cast<void>(m_session.set(setting.name, setting.value)); // checked before
+        static_cast<void>(m_session.set(setting.name, setting.value)); // validated by check()
         return out;
     }
     const bool isFixed = std::any_of(reportedSettings.begin(), reportedSettings.end(), [&](const ReportedSetting &reported) {
         return absl::EqualsIgnoreCase(absl::string_view(reported.name.data(), reported.name.size()), setting.name);
     });
     if (!isFixed) {
-        m_harmless[setting.name] = setting.value;
+        m_localSettings[setting.name] = setting.value;
     }
     if (setting.name == applicationName) {
         pg::appendParameterStatus(out, applicationName, setting.value);
@@ -286,7 +286,7 @@
     if (setting.name.empty()) {
         m_session.resetAll();
     } else if (isOwn(setting.name)) {
-        static_cast<void>(m_session.reset(setting.name)); // checked before
+        static_cast<void>(m_session.reset(setting.name)); // validated by check()
     }
     return commandComplete("RESET");
 }
@@ -296,8 +296,8 @@
     if (isOwn(name)) {
         return m_session.show(name).value_or("");
     }
-    const auto it = m_harmless.find(name);
-    return it == m_harmless.end() ? std::string() : it->second;
+    const auto it = m_localSettings.find(name);
+    return it == m_localSettings.end() ? std::string() : it->second;
 }
 
 } // namespace egrettide::detail
--- a/src/runtime/sessions/callersettings.h
+++ b/src/runtime/sessions/callersettings.h
@@ -1,6 +1,6 @@
-// Answers SET, SHOW, RESET, DISCARD and DEALLOCATE for one caller. These never
-// reach an upstream: its connections are shared, and a setting made for one caller
-// would show in the results of another.
+// Runs SET, SHOW, RESET, DISCARD and DEALLOCATE of one caller. They are not sent to
+// upstreams: connections are shared, and a setting of one caller would affect the
+// results of another.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 namespace egrettide::detail
 {
 
-// Holds references: `session` and `statements` have to outlive it.
+// `session` and `statements` have to outlive it.
 class CallerSettings
 {
 public:
@@ -24,16 +24,17 @@
     CallerSettings(const CallerSettings &) = delete;
     CallerSettings &operator=(const CallerSettings &) = delete;
 
-    // Takes harmless settings that came with the startup message. Unsupported for
-    // one that upstreams could not honour.
+    // Applies the settings of the startup message. Returns Unsupported for a setting that
+    // shared upstream connections cannot apply.
     tl::expected<void, Error> applyStartup(const SessionState::Parameters &parameters);
     // ParameterStatus messages that drivers expect before their first query.
     std::string startupStatus() const;
 
-    // One setting as a statement that the front runs later; faults are found now.
+    // Returns a statement that applies the setting when the front executes it; errors are
+    // reported now.
     tl::expected<pg::LocalStatement, Error> prepare(const Setting &setting);
-    // The answers to all settings of a simple query, without ReadyForQuery. Nothing
-    // is applied when one of them is faulty.
+    // Applies all settings of a simple query and returns the answers, without
+    // ReadyForQuery. Applies none of them when one is invalid.
     tl::expected<std::string, Error> run(const std::vector<Setting> &settings);
 
 private:
@@ -46,8 +47,8 @@
 
     SessionState &m_session;
     pg::SessionStatements &m_statements;
-    // Settings that change nothing but their own SHOW, by name in lower case.
-    std::map<std::string, std::string, std::less<>> m_harmless;
+    // Settings that affect only the answer to SHOW, by lower-case name.
+    std::map<std::string, std::string, std::less<>> m_localSettings;
 };
 
 } // namespace egrettide::detail
--- a/src/runtime/sessions/statementsession.cpp
+++ b/src/runtime/sessions/statementsession.cpp
@@ -1,4 +1,4 @@
-// One caller's session of single statements.
+// Runs the statements of one caller's session.
 
 #include "runtime/sessions/statementsession.h"
 
@@ -29,22 +29,22 @@
     if (!defaults.latest) {
         defaults.maxAge = route.maxAge;
     }
-    // A session is a connection: whatever its caller did over another one belongs
+    // A session is a connection: work of the same caller over another connection belongs
     // to another session.
     defaults.startsKnown = true;
-    // Routes promise an age and the session's own writes.
+    // Routes guarantee a maximum age and the session's own writes, not monotonic reads.
     defaults.readsRaiseFloor = false;
     return defaults;
 }
 
-// As "term.position"; "none" when the read need not see anything in particular.
+// Formats as "term.position"; "none" without a mark.
 std::string textOf(const std::optional<LogMark> &mark)
 {
     return mark ? std::to_string(mark->term) + "." + std::to_string(mark->position) : "none";
 }
 
-// Names of prepared statements collide between callers, and connections are shared.
-// A name derived from the definition means the same for all of them.
+// Derives the name of a prepared statement on shared connections from its definition:
+// names chosen by different callers could collide.
 std::string sharedNameOf(const std::string &definition)
 {
     constexpr std::size_t digits = 16;
@@ -72,9 +72,9 @@
     return Error{ErrorKind::InvalidInput, what, noRetry};
 }
 
-Error startFailed()
+Error transactionNotStarted()
 {
-    // A home ends a transaction whose caller it cannot reach.
+    // A home rolls back a transaction whose caller it cannot reach.
     return Error{ErrorKind::Conflict, "The transaction could not be started; start it again.", noRetry};
 }
 
@@ -119,16 +119,16 @@
 
 void StatementSession::run(CallerStatement statement, TimePoint receivedAt, AnswerHandler handler)
 {
-    // What ends a transaction that is lost already, or rolls it back, changes nothing,
-    // whoever asks for it.
-    const bool isHarmless = statement.verb == CallerVerb::Rollback || (m_aborted && ends(statement.verb));
-    if (!isHarmless) {
-        if (auto known = followKey(); !known) {
+    // A rollback, or the end of an already lost transaction, has no effect on data, so it
+    // is allowed without a valid key.
+    const bool hasNoEffect = statement.verb == CallerVerb::Rollback || (m_aborted && ends(statement.verb));
+    if (!hasNoEffect) {
+        if (auto known = refreshWorkspace(); !known) {
             refuseKey(statement, std::move(known.error()), handler);
             return;
         }
     }
-    if (answerHere(statement, handler)) {
+    if (answerLocally(statement, handler)) {
         return;
     }
     std::string id = statement.id;
@@ -146,8 +146,8 @@
     std::make_shared<RequestRunner>(m_shard, std::move(*request), std::move(done))->start();
 }
 
-// True when the statement needs no upstream.
-bool StatementSession::answerHere(const CallerStatement &statement, const AnswerHandler &handler)
+// Answers a statement that needs no upstream; returns false for all others.
+bool StatementSession::answerLocally(const CallerStatement &statement, const AnswerHandler &handler)
 {
     if (m_aborted && ends(statement.verb)) {
         m_aborted = false;
@@ -190,13 +190,13 @@
     m_prepared[statement.name] = Prepared{sharedNameOf(statement.definition), statement.definition, statement.preparesWrite};
 }
 
-// What goes wrong when the key is looked at once, at the start of a session: sessions stay
-// open for hours, and a key that was taken away goes on being honoured over all that were
-// open then, in the middle of a transaction too.
-tl::expected<void, Error> StatementSession::followKey()
+// Checks the key again whenever the configuration has changed. Sessions stay open for
+// hours: with a check only at the start, a revoked key would remain valid in all open
+// sessions, also within transactions.
+tl::expected<void, Error> StatementSession::refreshWorkspace()
 {
     const auto current = m_shard->configuration();
-    if (!current || current == m_keyFoundIn) {
+    if (!current || current == m_workspaceConfiguration) {
         return {};
     }
     auto workspace = workspaceFor(*current, m_routeName, m_key);
@@ -204,12 +204,12 @@
         return tl::unexpected(std::move(workspace.error()));
     }
     if (*workspace != m_workspace && m_state.inTransaction()) {
-        // The transaction runs in the name of the other one.
+        // The transaction runs on behalf of the previous workspace.
         return tl::unexpected(Error{ErrorKind::AuthenticationFailed,
-                                    "The key has passed to another workspace; begin the transaction again.", noRetry});
+                                    "The key now belongs to another workspace; begin the transaction again.", noRetry});
     }
     m_workspace = std::move(*workspace);
-    m_keyFoundIn = current;
+    m_workspaceConfiguration = current;
     return {};
 }
 
@@ -224,8 +224,9 @@
     handler(StatementAnswer{std::move(error), {}, state()});
 }
 
-// Routes are followed between transactions only: what began under one goes on under it.
-tl::expected<void, Error> StatementSession::followRoute()
+// Applies a changed route. Called outside transactions only: a transaction keeps the route
+// that it began with.
+tl::expected<void, Error> StatementSession::refreshRoute()
 {
     const auto current = m_shard->configuration();
     if (!current || current == m_configuration) {
@@ -251,7 +252,7 @@
         return tl::unexpected(outOfOrder("No transaction is open; begin one first."));
     }
     if (!inTransaction) {
-        if (const auto followed = followRoute(); !followed) {
+        if (const auto followed = refreshRoute(); !followed) {
             return tl::unexpected(followed.error());
         }
     }
@@ -281,8 +282,8 @@
     return request;
 }
 
-// A read-only transaction whose reads must be the latest ones runs as any other:
-// only then does the upstream check with each statement that it leads.
+// A read-only transaction that must read the latest data runs as a read-write one: only
+// then does the upstream check at each statement that it is the primary.
 StatementKind StatementSession::kindOf(const CallerStatement &statement) const
 {
     switch (statement.verb) {
@@ -360,12 +361,12 @@
         m_aborted = leavesAborted(pending.kind);
         error = errorInTransaction(failed, std::move(error));
     } else if (begins(pending.kind) && outcomeOf(error.kind) == Outcome::Unknown) {
-        error = startFailed();
+        error = transactionNotStarted();
     }
     pending.answer(StatementAnswer{std::move(error), {}, state()});
 }
 
-// What decided the failure, by the id under which the caller will ask about it.
+// Logs the inputs of the failed routing decision under the caller's id of the statement.
 void StatementSession::logFailure(const Pending &pending, const StatementReply &reply, const Error &error,
                                   const std::string &upstream) const
 {
@@ -391,8 +392,8 @@
                   {"reason", error.message}});
 }
 
-// Refuses a statement that never left. An open transaction is rolled back: its
-// caller could otherwise commit the rest without the refused part.
+// Refuses a statement that was not sent. An open transaction is rolled back: the caller
+// could otherwise commit it without the refused part.
 void StatementSession::reject(Error error, const AnswerHandler &handler)
 {
     if (m_state.inTransaction()) {
@@ -419,8 +420,8 @@
     }
 }
 
-// What is under way ends by itself: giving it up would cost the upstream's
-// connection, whose answer is still to come.
+// The current statement runs to its end: cancelling it would cost the upstream connection,
+// whose answer is still outstanding.
 void StatementSession::abandon()
 {
     m_abandoned = true;
--- a/src/runtime/sessions/statementsession.h
+++ b/src/runtime/sessions/statementsession.h
@@ -1,7 +1,8 @@
 // One caller's session for protocols whose messages are single statements: answers
-// what needs no upstream, has the rest run, and keeps the session's values, its
-// prepared statements, its floor and its transaction. It knows statements by what
-// they do; how they are written is the edge's matter.
+// statements that need no upstream, runs the others, and keeps the session's values, its
+// prepared statements, its floor (the mark that its reads must reach) and its
+// transaction. It depends only on the kind of a statement; the protocol codec (the edge)
+// defines the syntax.
 
 #pragma once
 
@@ -22,24 +23,24 @@
 
 enum class CallerVerb { Begin, BeginReadOnly, Commit, Rollback, Read, Write, SetValue, Prepare, Execute, Deallocate };
 
-// One statement as the edge has understood it.
+// One statement as parsed by the protocol codec.
 struct CallerStatement {
     CallerVerb verb = CallerVerb::Read;
-    // The caller's own name for this statement; appears in logs.
+    // The caller's id of this statement, for logs.
     std::string id;
     // The name of a value or of a prepared statement.
     std::string name;
-    // SetValue: the value. Prepare: what prepares it, without the name.
+    // SetValue: the value. Prepare: the text that prepares the statement, without its name.
     std::string definition;
     // Prepare: true when executing it writes.
     bool preparesWrite = false;
-    // What goes to the upstream. For Execute it is split around the name of the
-    // prepared statement, which is replaced; for all others `batchTail` is empty.
+    // The text for the upstream. For Execute, the parts before and after the name of the
+    // prepared statement, which is replaced; otherwise `batchTail` is empty.
     std::string batch;
     std::string batchTail;
 };
 
-// How the edge writes what the session sends on its own account.
+// Texts, in the syntax of the protocol, of the statements that begin a transaction.
 struct StatementWording {
     std::string begin;
     std::string beginReadOnly;
@@ -47,36 +48,37 @@
 
 // The answer to one statement.
 struct StatementAnswer {
-    // Set when egrettide refuses or has lost it; `rows` is then empty.
+    // Set when egrettide refused the statement or lost its answer; `rows` is then empty.
     std::optional<Error> error;
-    // The upstream's answer as it came; empty for what was answered here.
+    // The unchanged answer of the upstream; empty for statements answered locally.
     std::string rows;
-    // 'I', 'T' or 'E', as the caller's session stands now.
+    // Transaction status after the statement: 'I' (idle), 'T' (in a transaction) or 'E'
+    // (failed transaction).
     char state = 'I';
 };
 
-// Lives on the thread of its shard. One statement at a time.
+// Lives on the thread of its shard. Runs one statement at a time.
 class StatementSession : public std::enable_shared_from_this<StatementSession>
 {
 public:
     using AnswerHandler = std::function<void(StatementAnswer)>;
 
-    // `routeName` must name a route of `configuration`, and `key` be one that it admits;
+    // `routeName` must name a route of `configuration`, and the route must accept `key`;
     // see workspaceFor().
     StatementSession(std::shared_ptr<TrafficShard> shard, const Configuration &configuration, std::string routeName,
                      std::string key, StatementWording wording);
     StatementSession(const StatementSession &) = delete;
     StatementSession &operator=(const StatementSession &) = delete;
 
-    // The handler is called once, possibly before this returns. Not to be called
-    // again before it was.
+    // Calls the handler once, possibly before it returns. Must not be called again until
+    // the handler was called.
     void run(CallerStatement statement, TimePoint receivedAt, AnswerHandler handler);
-    // Answers what is no statement at all.
+    // Answers input that is not a valid statement with `error`.
     void reject(Error error, const AnswerHandler &handler);
-    // The caller is gone: its open transaction is rolled back, if need be when the
-    // statement under way has come back.
+    // Called when the caller has disconnected: rolls back its open transaction, after the
+    // current statement if there is one.
     void abandon();
-    // True when the connection may end without losing anything.
+    // True when the connection can end without losing state.
     bool isIdle() const;
 
 private:
@@ -88,12 +90,12 @@
         AnswerHandler answer;
     };
 
-    bool answerHere(const CallerStatement &statement, const AnswerHandler &handler);
+    bool answerLocally(const CallerStatement &statement, const AnswerHandler &handler);
     void setValue(const CallerStatement &statement);
     void prepare(const CallerStatement &statement);
-    tl::expected<void, Error> followKey();
+    tl::expected<void, Error> refreshWorkspace();
     void refuseKey(const CallerStatement &statement, Error error, const AnswerHandler &handler);
-    tl::expected<void, Error> followRoute();
+    tl::expected<void, Error> refreshRoute();
     tl::expected<StatementRequest, Error> requestFor(CallerStatement statement, TimePoint receivedAt);
     StatementKind kindOf(const CallerStatement &statement) const;
     tl::expected<void, Error> writeBatch(CallerStatement &statement, StatementRequest &request) const;
@@ -105,7 +107,7 @@
     char state() const;
 
     struct Prepared {
-        // The name on upstreams' connections; the same for the same definition.
+        // The name on upstream connections; derived from the definition.
         std::string sharedName;
         std::string definition;
         bool writes = false;
@@ -113,26 +115,26 @@
 
     std::shared_ptr<TrafficShard> m_shard;
     const std::string m_routeName;
-    // What the caller showed; a secret.
+    // The key that the caller presented; a secret.
     const std::string m_key;
     const StatementWording m_wording;
     // The workspace of m_key; empty when it belongs to none.
     std::string m_workspace;
-    // The configuration under which m_workspace was found.
-    std::shared_ptr<const Configuration> m_keyFoundIn;
+    // The configuration that m_workspace was looked up in.
+    std::shared_ptr<const Configuration> m_workspaceConfiguration;
     SessionState m_state;
     // The configuration that m_route was taken from.
     std::shared_ptr<const Configuration> m_configuration;
-    // As it stood when the last transaction began.
+    // Updated outside transactions only.
     RouteSpec m_route;
-    // Sorted by name, as StatementRequest::sessionValues asks.
+    // Sorted by name, as StatementRequest::sessionValues requires.
     std::vector<SessionValue> m_values;
     std::map<std::string, Prepared, std::less<>> m_prepared;
     bool m_isRunning = false;
-    // As the upstream last said.
+    // Transaction status that the upstream last reported.
     char m_upstreamState = 'I';
-    // True when the transaction was rolled back here although the caller has not
-    // ended it: all but its end is refused until then.
+    // True when the front rolled the transaction back before the caller ended it. All
+    // statements except its end are refused until the caller ends it.
     // Invariant: m_aborted implies that no transaction is open at a home.
     bool m_aborted = false;
     bool m_abandoned = false;
