--- a/src/runtime/callers/primarywaits.h
+++ b/src/runtime/callers/primarywaits.h
@@ -44,7 +44,7 @@
     }
 
     // Number of entries of the database, including expired ones that are not removed yet.
-    std::size_t held(const std::string &database) const
+    std::size_t entryCount(const std::string &database) const
     {
         const auto found = m_byDatabase.find(database);
         return found == m_byDatabase.end() ? 0 : found->second.entries.size();
--- a/tests/runtime/fakehome.h
+++ b/tests/runtime/fakehome.h
@@ -1,6 +1,6 @@
-// Homes of all upstreams of one database, in process: run requests at fake
-// upstreams, or answer them as a test says. Replies come from a thread of their
-// own, as those of real homes do.
+// In-process homes of all upstreams of one database: run requests at fake upstreams,
+// or answer them from a script of the test. Replies arrive from a separate thread, as
+// with real homes.
 
 #pragma once
 
@@ -25,11 +25,11 @@
 namespace egrettide::test
 {
 
-// Each request outside a transaction gets a connection that nobody used before.
+// Each request outside a transaction runs on a new connection.
 class FakeHome
 {
 public:
-    // Answers in place of the upstream; nothing to let it run there.
+    // Returns the reply in place of the upstream, or nothing to run the request there.
     using Script = std::function<std::optional<StatementReply>(const StatementRequest &request)>;
 
     FakeHome() : m_work(boost::asio::make_work_guard(m_context)), m_thread([this] { m_context.run(); })
@@ -48,7 +48,7 @@
     {
         return [this](StatementRequest request, ReplyHandler handler) {
             boost::asio::post(m_context,
-                              [this, request = std::move(request), handler = std::move(handler)] { take(request, handler); });
+                              [this, request = std::move(request), handler = std::move(handler)] { handle(request, handler); });
         };
     }
 
@@ -63,7 +63,7 @@
         m_script = std::move(script);
     }
 
-    // Keeps back requests whose batch contains `text` until `release`.
+    // Delays requests whose batch contains `text` until release().
     void hold(const std::string &text)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -77,12 +77,12 @@
             const auto held = std::move(m_held);
             m_held.clear();
             for (const auto &[request, handler] : held) {
-                take(request, handler);
+                handle(request, handler);
             }
         });
     }
 
-    // Waits until `isMet` holds for the requests so far; false after a generous time.
+    // Waits until `isMet` returns true for the requests so far; false after 20 s.
     bool waitFor(const std::function<bool(const std::vector<StatementRequest> &)> &isMet)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
@@ -103,7 +103,7 @@
         return m_requests;
     }
 
-    // The statements that ran, in order.
+    // The executed statements, in order.
     std::vector<std::string> ran() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -116,7 +116,7 @@
         return static_cast<std::size_t>(std::count(all.begin(), all.end(), sql));
     }
 
-    // Waits until the statement has run at an upstream; false after a generous time.
+    // Waits until the statement has run at an upstream; false after 20 s.
     bool waitUntilRan(const std::string &sql)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
@@ -143,7 +143,7 @@
     static StatementReply refusal(ErrorKind kind, bool sent, milliseconds retryAfter = milliseconds{0})
     {
         StatementReply reply;
-        reply.error = Error{kind, "The fake home says no; let it.", retryAfter};
+        reply.error = Error{kind, "The fake home refuses the request; this is expected.", retryAfter};
         reply.sent = sent;
         return reply;
     }
@@ -151,7 +151,7 @@
 private:
     using Connection = std::shared_ptr<FakeUpstreamConnection>;
 
-    void take(const StatementRequest &request, const ReplyHandler &handler)
+    void handle(const StatementRequest &request, const ReplyHandler &handler)
     {
         Script script;
         bool holds = false;
@@ -207,7 +207,7 @@
         });
     }
 
-    // A request that is held back counts as running at its upstream.
+    // Treats a held request as running at its upstream.
     void cancel(std::uint64_t id)
     {
         const auto found = std::find_if(m_held.begin(), m_held.end(), [id](const auto &held) { return held.first.id == id; });
@@ -235,7 +235,7 @@
     Script m_script;
     std::string m_holdText;
 
-    // Used on m_thread alone.
+    // Used only on m_thread.
     std::vector<std::pair<StatementRequest, ReplyHandler>> m_held;
     std::map<std::uint64_t, Connection> m_transactions;
     std::uint64_t m_lastTransaction = 0;
--- a/tests/runtime/front_test.cpp
+++ b/tests/runtime/front_test.cpp
@@ -1,4 +1,4 @@
-// The callers' side against real drivers: libpq on one end, fake homes on the other.
+// The front between libpq clients and fake homes.
 
 #define BOOST_TEST_MODULE Front
 #include <boost/test/unit_test.hpp>
@@ -46,7 +46,7 @@
 class RunningFront
 {
 public:
-    // Stands between the front and its homes.
+    // Wraps the execute hook between the front and its homes.
     using Wrapper = std::function<ExecuteHook(ExecuteHook)>;
 
     explicit RunningFront(FrontOptions options = {},
@@ -106,7 +106,7 @@
     }
 
 private:
-    // Before all that holds sockets and timers of theirs.
+    // Declared before all members that hold their sockets and timers.
     std::array<asio::io_context, 2> m_traffic;
     asio::io_context m_accept;
 
@@ -157,7 +157,7 @@
     {
         return {PQexec(m_connection, sql.c_str()), PQclear};
     }
-    // The first value, the command tag when there are no rows, or the SQLSTATE.
+    // Returns the first value, the command tag when there are no rows, or the SQLSTATE.
     std::string value(const std::string &sql) const
     {
         return valueOf(run(sql));
@@ -192,7 +192,7 @@
     return hint != nullptr ? hint : "";
 }
 
-// Sends bytes as no driver does, and reads what comes until the end.
+// Sends raw bytes and reads the answer until the connection is closed.
 std::string rawAnswer(const RunningFront &running, const std::string &bytes)
 {
     asio::io_context context;
@@ -228,7 +228,7 @@
 
 BOOST_AUTO_TEST_SUITE(FrontStartup)
 
-BOOST_AUTO_TEST_CASE(GivesDriversTheParametersTheyRead)
+BOOST_AUTO_TEST_CASE(ReportsTheParametersThatDriversRead)
 {
     const RunningFront running;
     const Caller caller(running);
@@ -241,7 +241,7 @@
     BOOST_TEST(PQbackendPID(caller.connection()) != 0);
 }
 
-BOOST_AUTO_TEST_CASE(AsksForThePasswordOfATenantThatHasOne)
+BOOST_AUTO_TEST_CASE(RequiresThePasswordOfATenantThatHasOne)
 {
     const RunningFront running;
     BOOST_TEST(Caller(running, "user=office password=secret").isConnected());
@@ -259,7 +259,7 @@
     BOOST_TEST(caller.message().find("elsewhere") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(RefusesWithoutAConfigurationAndSaysWhenToComeBack)
+BOOST_AUTO_TEST_CASE(RefusesWithoutAConfigurationAndSaysWhenToRetry)
 {
     const RunningFront running({}, nullptr);
     std::string answer = rawAnswer(running, startupBytes());
@@ -287,9 +287,8 @@
     BOOST_TEST(requests[0].freshness.latest);
 }
 
-// Symptom: a caller reads the tables of another schema.
-// Sequence: it names a search_path at its start and is let in.
-// Cause: a setting that shared connections cannot keep was dropped without a word.
+// Shared connections cannot keep a search_path of the startup message. If it were ignored
+// without an error, the caller would read the tables of another schema.
 BOOST_AUTO_TEST_CASE(RefusesStartupSettingsThatCannotBeKept)
 {
     const RunningFront running;
@@ -310,7 +309,7 @@
     BOOST_TEST(running.waitForConnections(0));
 }
 
-BOOST_AUTO_TEST_CASE(TellsConnectionsBeyondTheLimitToComeBack)
+BOOST_AUTO_TEST_CASE(RefusesConnectionsBeyondTheLimit)
 {
     FrontOptions options;
     options.maxConnections = 1;
@@ -414,7 +413,7 @@
     BOOST_TEST(Caller::valueOf(result) == "kept");
 }
 
-BOOST_AUTO_TEST_CASE(AFlushThatCannotBeCarriedIsRefusedUpToTheSync)
+BOOST_AUTO_TEST_CASE(AnUnsupportedFlushIsRefusedUpToTheSync)
 {
     const RunningFront running;
     const Caller caller(running);
@@ -456,7 +455,7 @@
     BOOST_TEST(requests[0].upstream == "u1");
 }
 
-BOOST_AUTO_TEST_CASE(RefusesWhatSharedConnectionsCannotCarry)
+BOOST_AUTO_TEST_CASE(RefusesWhatSharedConnectionsCannotSupport)
 {
     const RunningFront running;
     const Caller caller(running);
@@ -480,7 +479,7 @@
     BOOST_TEST(running.home.requests().empty());
 }
 
-BOOST_AUTO_TEST_CASE(ReportsTheSessionsTokenAndTakesItOnAnotherConnection)
+BOOST_AUTO_TEST_CASE(ReportsTheSessionTokenAndAcceptsItOnAnotherConnection)
 {
     const RunningFront running;
     const Caller first(running);
@@ -515,7 +514,7 @@
 
 BOOST_AUTO_TEST_SUITE(FrontOutcomes)
 
-BOOST_AUTO_TEST_CASE(SaysThatARefusedWriteDidNotRunAndWhenToComeBack)
+BOOST_AUTO_TEST_CASE(ReportsThatARefusedWriteDidNotRunAndWhenToRetry)
 {
     RunningFront running;
     const Caller caller(running);
@@ -527,9 +526,8 @@
     BOOST_TEST(caller.value("SELECT 1") == "1");
 }
 
-// Symptom: a parent is charged twice.
-// Sequence: a charge is sent, its answer is lost, and something sends it again.
-// Cause: a lost answer taken for a request that did not run.
+// A charge is sent and its answer is lost. If the lost answer were treated as "not run" and the
+// request sent again, a parent would be charged twice.
 BOOST_AUTO_TEST_CASE(NeverSendsAWriteAgainWhoseOutcomeIsUnknown)
 {
     RunningFront running;
@@ -541,7 +539,7 @@
     BOOST_TEST(running.home.requests().size() == 1U);
 }
 
-// What a caller hears of a write that was sent and whose home then says "moved".
+// The hint that a caller receives for a write that was sent and then answered with "moved".
 std::string hintAfterMove(FrontFaults faults)
 {
     FrontOptions options;
@@ -552,10 +550,10 @@
     return hintOf(caller.run("INSERT INTO charges VALUES (1)"));
 }
 
-BOOST_AUTO_TEST_CASE(NeverSaysNotRunOfAWriteThatWasSent)
+BOOST_AUTO_TEST_CASE(NeverReportsNotRunForAWriteThatWasSent)
 {
     BOOST_TEST(hintAfterMove({}) == "Outcome unknown. Check before sending again.");
-    BOOST_TEST(hintAfterMove({.trustsNotRun = true}).starts_with("Not run."), "the proof does not notice its own fault");
+    BOOST_TEST(hintAfterMove({.trustsNotRun = true}).starts_with("Not run."), "the test does not detect the injected fault");
 }
 
 BOOST_AUTO_TEST_CASE(AWriteWaitsForANewPrimaryAndThenRunsOnce)
@@ -574,28 +572,25 @@
     BOOST_TEST(running.observations().size() == 1U);
 }
 
-// Symptom: a caller that waits for a promotion loads the homes of its database, 150 sends
-// within one second, and still waits up to a poll longer than it has to.
-// Sequence: the primary is lost; the caller's host looks for another one all the time; one
-// is announced.
-// Cause: looking again went by the clock alone.
-// A write that waits for a second: 150 sends before, the announcement sends it at once now.
-BOOST_AUTO_TEST_CASE(AWriteWaitsForTheNewsOfAPrimaryAndAsksSeldom)
+// A write waits while its database has no primary. With retries at a constant interval only, a
+// write that waits for one second is sent 150 times to the homes of the database, and it still
+// waits up to one interval longer than needed. The announcement of the primary sends it at once.
+BOOST_AUTO_TEST_CASE(AWriteWaitsForTheAnnouncementOfAPrimaryAndRetriesRarely)
 {
     FrontOptions options;
-    // Only news may end the later waits.
+    // Only an announcement can end the later waits.
     options.longestPrimaryPoll = std::chrono::seconds(60);
     RunningFront running(options);
     const Caller caller(running, "user=branch options='-c egrettide.timeout=60s'");
     running.home.setScript(answering("INSERT", FakeHome::refusal(ErrorKind::NoPrimary, false)));
     BOOST_REQUIRE(PQsendQuery(caller.connection(), "INSERT INTO t VALUES (1)") == 1);
-    // Two in the first round, one in each of the next.
+    // Two requests in the first round, one in each later round.
     BOOST_REQUIRE(running.home.waitFor([](const auto &requests) { return requests.size() >= 5; }));
     running.home.setScript({});
-    GroupHint news = FakeHome::hint();
-    news.term += 1;
-    news.primary = "u2";
-    running.front->learn(news, "u2");
+    GroupHint announcement = FakeHome::hint();
+    announcement.term += 1;
+    announcement.primary = "u2";
+    running.front->learn(announcement, "u2");
     const Result result(PQgetResult(caller.connection()), PQclear);
     BOOST_TEST(PQresultStatus(result.get()) == PGRES_COMMAND_OK);
     BOOST_TEST(running.home.requests().size() <= 12U, running.home.requests().size() << " sends for one write");
@@ -612,9 +607,8 @@
     BOOST_TEST(hintOf(result).starts_with("Not run."));
 }
 
-// Symptom: a caller hangs although its deadline is long past.
-// Sequence: the home's host stops without a word while a request is with it.
-// Cause: nothing but the home's reply would end the request.
+// The host of a home stops without a report while it has a request. If only the reply of the
+// home could end the request, the caller would hang long after its deadline.
 BOOST_AUTO_TEST_CASE(AHomeThatNeverAnswersLeavesTheOutcomeUnknown)
 {
     FrontOptions options;
@@ -640,8 +634,8 @@
     BOOST_TEST(requests[0].id != requests[1].id);
 }
 
-// Lets the first execution of a read be refused and then answered late, with another
-// text's row, while the second one is under way.
+// Refuses the first execution of a read, then answers it late with the row of another
+// statement while the second execution is outstanding.
 std::string answerDespiteLateReply(FrontFaults faults)
 {
     FrontOptions options;
@@ -656,7 +650,7 @@
             StatementRequest other = request;
             other.batch.clear();
             pg::appendQuery(other.batch, "SELECT wrong");
-            // Its answer waits behind the refusal, which this thread takes at once.
+            // Its answer arrives after the refusal, which this thread delivers immediately.
             home(std::move(other), handler);
             handler(FakeHome::refusal(ErrorKind::Moved, false));
         };
@@ -665,17 +659,16 @@
     return Caller(running).value("SELECT right");
 }
 
-// Symptom: a caller reads another request's rows.
-// Sequence: a request is refused by one home and sent to a second; then the first one
-// answers after all.
-// Cause: the late reply is taken for that of the second.
-BOOST_AUTO_TEST_CASE(ALateReplyIsNotTakenForTheAnswer)
+// A request is refused by one home and sent to a second one; then the first home answers after
+// all. If its late reply were used as the answer, the caller would read the rows of another
+// request.
+BOOST_AUTO_TEST_CASE(ALateReplyIsNotUsedAsTheAnswer)
 {
     BOOST_TEST(answerDespiteLateReply({}) == "right");
-    BOOST_TEST(answerDespiteLateReply({.takesLateReplies = true}) == "wrong", "the proof does not notice its own fault");
+    BOOST_TEST(answerDespiteLateReply({.takesLateReplies = true}) == "wrong", "the test does not detect the injected fault");
 }
 
-BOOST_AUTO_TEST_CASE(PassesTheUpstreamsOwnErrorsOn)
+BOOST_AUTO_TEST_CASE(ForwardsErrorsOfTheUpstream)
 {
     const RunningFront running;
     const Caller caller(running);
@@ -683,7 +676,7 @@
     BOOST_TEST(caller.transaction() == PQTRANS_IDLE);
 }
 
-BOOST_AUTO_TEST_CASE(CancelsTheRequestUnderWay)
+BOOST_AUTO_TEST_CASE(CancelsTheCurrentRequest)
 {
     RunningFront running;
     const Caller caller(running);
@@ -735,8 +728,8 @@
     }
 }
 
-// Loses the connection of a transaction in its middle; gives how many of its later
-// statements ran all the same.
+// Loses the connection in the middle of a transaction; returns how many of the later
+// statements ran nevertheless.
 std::size_t ranAfterLoss(FrontFaults faults)
 {
     FrontOptions options;
@@ -754,14 +747,12 @@
     return running.home.timesRan("INSERT INTO t VALUES (2)") + running.home.timesRan("INSERT INTO t VALUES ($1)");
 }
 
-// Symptom: half of a transaction is in the database.
-// Sequence: the transaction's upstream is lost; the caller, which pipelines, has sent
-// the rest and its COMMIT already.
-// Cause: the rest runs by itself, outside any transaction.
+// The upstream of a transaction is lost after a pipelining caller has already sent the remaining
+// statements and COMMIT. If these ran outside the transaction, half of it would be committed.
 BOOST_AUTO_TEST_CASE(NothingMoreOfALostTransactionRuns)
 {
     BOOST_TEST(ranAfterLoss({}) == 0U);
-    BOOST_TEST(ranAfterLoss({.forgetsLostTransactions = true}) == 2U, "the proof does not notice its own fault");
+    BOOST_TEST(ranAfterLoss({.forgetsLostTransactions = true}) == 2U, "the test does not detect the injected fault");
 }
 
 BOOST_AUTO_TEST_CASE(ALostTransactionStaysAbortedUntilItsCallerEndsIt)
@@ -791,7 +782,7 @@
     BOOST_TEST(caller.transaction() == PQTRANS_IDLE);
 }
 
-// The same for a COMMIT that is hidden in a text of several statements.
+// The same for a COMMIT within a text of several statements.
 BOOST_AUTO_TEST_CASE(ALostTextThatMayHoldTheCommitLeavesTheOutcomeUnknown)
 {
     RunningFront running;
@@ -809,13 +800,13 @@
     BOOST_TEST(caller.value("COPY t FROM STDIN") == "0A000");
     BOOST_TEST(caller.transaction() == PQTRANS_INERROR);
     BOOST_TEST(caller.value("COMMIT") == "ROLLBACK");
-    // The front has answered by itself; the home is told besides, in its own time.
+    // The front has answered locally; the rollback reaches the home asynchronously.
     BOOST_TEST(running.home.waitUntilRan("ROLLBACK"), "the upstream's transaction was left open; see rollBackAtHome");
     BOOST_TEST(running.home.timesRan("COMMIT") == 0U);
     BOOST_TEST(running.home.timesRan("ROLLBACK") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AreRolledBackWhenTheirCallerVanishes)
+BOOST_AUTO_TEST_CASE(AreRolledBackWhenTheirCallerDisconnects)
 {
     RunningFront running;
     {
@@ -826,7 +817,7 @@
     BOOST_TEST(running.home.waitForRequest("ROLLBACK"));
 }
 
-BOOST_AUTO_TEST_CASE(AreRolledBackWhenTheirCallerVanishesBeforeBeginIsAnswered)
+BOOST_AUTO_TEST_CASE(AreRolledBackWhenTheirCallerDisconnectsBeforeBeginIsAnswered)
 {
     RunningFront running;
     running.home.hold("BEGIN");
@@ -856,11 +847,11 @@
     BOOST_TEST(caller.value("COMMIT") == "COMMIT");
 }
 
-BOOST_AUTO_TEST_CASE(DrainLetsATransactionFinishAndThenSaysGoodbye)
+BOOST_AUTO_TEST_CASE(DrainLetsATransactionFinishAndThenSendsAFinalError)
 {
     RunningFront running;
     const Caller idle(running);
-    // libpq takes what comes between requests for a notice.
+    // libpq reports messages that arrive between requests as notices.
     std::string notices;
     const auto collect = [](void *all, const char *message) { static_cast<std::string *>(all)->append(message); };
     PQsetNoticeProcessor(idle.connection(), collect, &notices);
@@ -869,9 +860,9 @@
     running.front->beginDrain();
     BOOST_TEST(running.waitForConnections(1));
     PQconsumeInput(idle.connection());
-    BOOST_TEST(PQnotifies(idle.connection()) == nullptr); // has libpq parse what it read
+    BOOST_TEST(PQnotifies(idle.connection()) == nullptr); // makes libpq parse its input
     BOOST_TEST(notices.find("connect again; egrettide host leaving") != std::string::npos,
-               "the idle caller was told: " << notices << "; see CallerConnection::sayFarewell");
+               "the idle caller received: " << notices << "; see CallerConnection::sendFinalError");
     BOOST_TEST(PQresultStatus(idle.run("INSERT INTO t VALUES (1)").get()) == PGRES_FATAL_ERROR);
     BOOST_TEST(busy.value("INSERT INTO t VALUES (2)") == "INSERT 0 1");
     BOOST_TEST(busy.value("COMMIT") == "COMMIT");
--- a/tests/runtime/frontandhomes_test.cpp
+++ b/tests/runtime/frontandhomes_test.cpp
@@ -1,5 +1,5 @@
-// Drivers on one end, a replicated group of stand-ins on the other: the front and
-// real homes between them.
+// The front and real homes between libpq clients and a replicated group of stand-in
+// upstreams.
 
 #define BOOST_TEST_MODULE FrontAndHomes
 #include <boost/test/unit_test.hpp>
@@ -62,8 +62,9 @@
     }
 
 private:
-    // Before the cluster, whose homes may still answer while it ends. The accepting
-    // context goes first: an accept under way holds a socket of the traffic context.
+    // Declared before the cluster, whose homes may still answer during its destruction. The
+    // accepting context is destroyed first: a pending accept holds a socket of the traffic
+    // context.
     ContextThread m_traffic;
     ContextThread m_accept;
 
@@ -76,7 +77,7 @@
     std::vector<RequestObservation> m_observations;
 };
 
-// A caller with one statement prepared for writing and one for reading.
+// A libpq client.
 class Caller
 {
 public:
@@ -90,7 +91,7 @@
     Caller(const Caller &) = delete;
     Caller &operator=(const Caller &) = delete;
 
-    // The first value, or the command tag, or the SQLSTATE.
+    // Returns the first value, the command tag or the SQLSTATE.
     std::string run(const std::string &sql)
     {
         return valueOf(PQexec(m_connection, sql.c_str()));
@@ -129,8 +130,8 @@
 constexpr const char *insertPitch = "INSERT INTO pitch VALUES ($1, $2)";
 constexpr const char *selectVendor = "SELECT vendor FROM pitch WHERE id = $1";
 
-// Books and looks at once, `count` times; gives what went wrong.
-std::string bookAndLook(const Deployment &deployment, int first, int count)
+// Writes a booking and reads it back immediately, `count` times; returns the first failure.
+std::string bookAndRead(const Deployment &deployment, int first, int count)
 {
     Caller caller(deployment);
     caller.prepare("book", insertPitch);
@@ -159,7 +160,7 @@
     Deployment deployment;
     std::vector<std::future<std::string>> runs;
     for (int i = 0; i < callers; ++i) {
-        runs.push_back(std::async(std::launch::async, [&, i] { return bookAndLook(deployment, i * bookings, bookings); }));
+        runs.push_back(std::async(std::launch::async, [&, i] { return bookAndRead(deployment, i * bookings, bookings); }));
     }
     for (auto &run : runs) {
         BOOST_TEST(run.get() == "");
@@ -192,11 +193,10 @@
     BOOST_TEST(caller.withParameters(selectVendor, {"3"}) == "three");
 }
 
-// Symptom: after one caller's mistake, prepared statements of others fail with 42P05.
-// Sequence: a caller binds a name that it never prepared; the upstream says 26000; the
-// home takes its connection for one that lost its statements and prepares them again.
-// Cause: the unknown name reached the upstream.
-BOOST_AUTO_TEST_CASE(AnUnknownNameDisturbsNoSharedStatement)
+// A caller binds a name that it never prepared. If the name reached the upstream, the upstream
+// would answer 26000, the home would assume that the connection lost its statements and
+// prepare them again, and the statements of other callers would fail with 42P05.
+BOOST_AUTO_TEST_CASE(AnUnknownNameDoesNotAffectSharedStatements)
 {
     Deployment deployment;
     Caller caller(deployment);
@@ -207,9 +207,9 @@
     }
 }
 
-// Symptom: an acknowledged booking is gone, or one is there that was "not run".
-// Sequence: callers book while the primary dies and a replica takes its place.
-// Cause: any step on the way took a lost answer for a refusal or the other way round.
+// Callers write while the primary fails and a replica is promoted. If any step confused a lost
+// answer with a refusal, an acknowledged booking would be missing, or a booking reported as
+// "not run" would be present.
 BOOST_AUTO_TEST_CASE(FailoverLosesNoAcknowledgedBookingAndRunsNoRefusedOne)
 {
     constexpr int callers = 4;
@@ -257,10 +257,10 @@
         present.insert(std::stoi(id));
     }
     for (const int id : acknowledged) {
-        BOOST_TEST(present.contains(id), "booking " << id << " was acknowledged and is gone");
+        BOOST_TEST(present.contains(id), "booking " << id << " was acknowledged and is missing");
     }
     for (const int id : refused) {
-        BOOST_TEST(!present.contains(id), "booking " << id << " was refused as not run and is there");
+        BOOST_TEST(!present.contains(id), "booking " << id << " was refused as not run and is present");
     }
     BOOST_TEST_MESSAGE(acknowledged.size() << " bookings acknowledged, " << refused.size() << " refused");
 }
--- a/tests/runtime/fuzz_test.cpp
+++ b/tests/runtime/fuzz_test.cpp
@@ -1,9 +1,9 @@
-// Everything that reads bytes from outside, fed with random bytes and with damaged
-// valid ones: it must neither crash nor hang, and its refusals are typed. Meant for
-// the sanitizers (preset asan); the seed is fixed, so a failure comes back.
+// Feeds all parsers of external input with random bytes and with corrupted valid input:
+// they must neither crash nor hang, and their errors must be typed. Intended for the
+// sanitizers (preset asan); the seed is fixed, so failures are reproducible.
 //
-// Each test counts what it got: a fuzzer whose inputs are all refused at the first
-// byte, or never refused, proves little.
+// Each test counts accepted and refused inputs: a fuzzer whose inputs are all refused at
+// the first byte, or never refused, proves little.
 
 #define BOOST_TEST_MODULE Fuzz
 #include <boost/test/unit_test.hpp>
@@ -65,7 +65,7 @@
         return bytes;
     }
 
-    // The text with one to four kinds of damage.
+    // Returns the text with one to four random corruptions.
     std::string damaged(std::string text)
     {
         for (std::size_t times = 1 + below(4); times > 0; --times) {
@@ -77,22 +77,22 @@
 private:
     void damageOnce(std::string &text)
     {
-        static const std::vector<std::string> nasty = {std::string(4, '\0'),
-                                                       "\xff\xff\xff\xff",
-                                                       "\x7f\xff\xff\xff",
-                                                       "\x80",
-                                                       "\xc3\x28",
-                                                       "1e999",
-                                                       "-1",
-                                                       "null",
-                                                       "{",
-                                                       "]",
-                                                       "\"",
-                                                       "99999999999999999999",
-                                                       "[[[[[[[[",
-                                                       ":",
-                                                       ",",
-                                                       "true"};
+        static const std::vector<std::string> corruptions = {std::string(4, '\0'),
+                                                             "\xff\xff\xff\xff",
+                                                             "\x7f\xff\xff\xff",
+                                                             "\x80",
+                                                             "\xc3\x28",
+                                                             "1e999",
+                                                             "-1",
+                                                             "null",
+                                                             "{",
+                                                             "]",
+                                                             "\"",
+                                                             "99999999999999999999",
+                                                             "[[[[[[[[",
+                                                             ":",
+                                                             ",",
+                                                             "true"};
         const std::size_t at = below(text.size() + 1);
         switch (below(6)) {
         case 0:
@@ -104,7 +104,7 @@
             text.erase(at, 1 + below(8));
             break;
         case 2:
-            text.insert(at, nasty[below(nasty.size())]);
+            text.insert(at, corruptions[below(corruptions.size())]);
             break;
         case 3:
             text.resize(at);
@@ -113,7 +113,7 @@
             text.insert(at, text.substr(below(text.size() + 1), below(40)));
             break;
         default: {
-            const std::string &put = nasty[below(nasty.size())];
+            const std::string &put = corruptions[below(corruptions.size())];
             text.replace(at, std::min(put.size(), text.size() - at), put);
             break;
         }
@@ -124,18 +124,18 @@
 };
 
 struct Tally {
-    int taken = 0;
+    int accepted = 0;
     int refused = 0;
 
     void count(bool good)
     {
-        (good ? taken : refused) += 1;
+        (good ? accepted : refused) += 1;
     }
     void expectBoth(const char *what) const
     {
-        BOOST_TEST_MESSAGE(what << ": " << taken << " taken, " << refused << " refused");
-        BOOST_TEST(taken > 0, what << ": nothing got through; the inputs are too wild to reach far");
-        BOOST_TEST(refused > 0, what << ": nothing was refused; the damage does no harm");
+        BOOST_TEST_MESSAGE(what << ": " << accepted << " accepted, " << refused << " refused");
+        BOOST_TEST(accepted > 0, what << ": no input was accepted; the corruption is too strong to reach deep code");
+        BOOST_TEST(refused > 0, what << ": no input was refused; the corruption has no effect");
     }
 };
 
@@ -148,7 +148,7 @@
     return text;
 }
 
-// Feeds a stream in pieces of random size and takes whatever it yields.
+// Feeds a stream in pieces of random size and reads all resulting messages.
 template <typename Reader, typename Next> bool drain(Bytes &bytes, Reader &reader, const std::string &stream, const Next &next)
 {
     for (std::size_t offset = 0; offset < stream.size();) {
@@ -225,8 +225,8 @@
     return configurationObject(head, json::parse(fileText("samples/lakeshore.json"))).dump();
 }
 
-// As the status for operators does it.
-bool canBeShown(const MembershipView &view)
+// Serializes the names in the same way as the status for operators.
+bool isSerializable(const MembershipView &view)
 {
     json names = json::array();
     for (const HostRecord &host : view.hosts) {
@@ -239,14 +239,14 @@
     }
 }
 
-bool typedFaults(const std::vector<Error> &errors)
+bool hasTypedErrors(const std::vector<Error> &errors)
 {
     return !errors.empty() && std::all_of(errors.begin(), errors.end(), [](const Error &error) {
         return error.kind == ErrorKind::InvalidInput && !error.message.empty();
     });
 }
 
-// A server that answers each connection with the next text and hangs up.
+// A server that answers each connection with the next text and closes it.
 class TextServer
 {
 public:
@@ -263,9 +263,9 @@
     {
         m_stopped = true;
         boost::asio::io_context context;
-        boost::asio::ip::tcp::socket waker(context);
+        boost::asio::ip::tcp::socket unblocker(context);
         boost::system::error_code ignored;
-        waker.connect(endpoint(), ignored);
+        unblocker.connect(endpoint(), ignored);
         m_thread.join();
     }
 
@@ -304,7 +304,7 @@
         + "\r\n\r\n" + body;
 }
 
-// Valid answers of a store, damaged in the body, in the head, or made up.
+// Store answers: valid, corrupted in the body, corrupted as a whole, or random.
 std::string storeAnswer(Bytes &bytes)
 {
     static const std::vector<std::string> statuses = {
@@ -318,7 +318,7 @@
                                                     "3",
                                                     ""};
     const std::string &status = statuses[bytes.below(statuses.size())];
-    // The first two are whole answers; half of all calls get one of them.
+    // The first two are valid answers; at least half of all calls return one of them.
     const std::string &body = bodies[bytes.below(2) == 0 ? bytes.below(2) : bytes.below(bodies.size())];
     switch (bytes.below(4)) {
     case 0:
@@ -332,8 +332,8 @@
     }
 }
 
-// One request over a connection of its own; the answer up to the server's hanging up.
-std::string askRaw(unsigned short port, const std::string &request)
+// Sends one request over a new connection; returns the answer until the server closes.
+std::string sendRaw(unsigned short port, const std::string &request)
 {
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket socket(context);
@@ -350,7 +350,7 @@
 
 BOOST_AUTO_TEST_SUITE(BytesFromOutside)
 
-BOOST_AUTO_TEST_CASE(OfCallersFirstMessageAreTakenOrRefused)
+BOOST_AUTO_TEST_CASE(OfTheFirstMessageOfCallersAreAcceptedOrRefused)
 {
     Bytes bytes(1);
     Tally tally;
@@ -362,13 +362,13 @@
         const std::string stream =
             bytes.below(3) == 0 ? bytes.random(200) : bytes.damaged(bytes.below(3) == 0 ? cancel : startup);
         pg::FrameReader reader;
-        int taken = 0;
+        int accepted = 0;
         const bool good = drain(bytes, reader, stream, [&](pg::FrameReader &from) {
             auto got = from.nextStartup();
-            taken += got && *got ? 1 : 0;
+            accepted += got && *got ? 1 : 0;
             return got;
         });
-        tally.count(good && taken > 0);
+        tally.count(good && accepted > 0);
     }
     tally.expectBoth("startup messages");
 }
@@ -421,12 +421,13 @@
             BOOST_TEST((decoded.error().kind == ErrorKind::InvalidInput));
             continue;
         }
-        // What passes has to be harmless to whoever takes it.
+        // An accepted message must be safe for its consumer.
         if (const auto *gossip = std::get_if<hop::Gossip>(&*decoded)) {
             Membership membership(record("self"), {}, 1, now);
             membership.onMessage(gossip->message, now + milliseconds{5});
             membership.tick(now + milliseconds{400});
-            BOOST_TEST(canBeShown(*membership.view()), "a host was taken into the view that operators cannot be shown");
+            BOOST_TEST(isSerializable(*membership.view()),
+                       "the view contains a host that cannot be written to the status for operators");
         }
     }
     tally.expectBoth("hop frames");
@@ -442,11 +443,10 @@
     streams.expectBoth("hop streams");
 }
 
-// Symptom: a host dies when an operator asks for its status.
-// Sequence: a stranger, or a damaged peer, sends gossip of a host whose name is no
-// UTF-8; the host takes it into its view; the status is written as JSON.
-// Cause: the codec took names unseen, and the JSON library throws at such text.
-BOOST_AUTO_TEST_CASE(OfPeersMayNotNameHostsByBytesThatAreNoText)
+// An unknown or faulty peer sends gossip about a host whose name is not valid UTF-8. If the
+// codec accepted the name, the JSON library would throw when the status for operators is
+// written, and the host would crash.
+BOOST_AUTO_TEST_CASE(OfPeersMayNotNameHostsInInvalidUtf8)
 {
     const TimePoint now{std::chrono::seconds{100}};
     for (const char *bad : {"\xff", "h\xc3(", "\xed\xa0\x80", "\xc0\xaf"}) {
@@ -466,10 +466,11 @@
     hop::Gossip good;
     good.message.from = "hôte-1";
     good.message.records = {record("hôte-2")};
-    BOOST_TEST(hop::decodeFrame(hop::encodeFrame(good, now).substr(4), now).has_value(), "names of other scripts are fine");
+    BOOST_TEST(hop::decodeFrame(hop::encodeFrame(good, now).substr(4), now).has_value(),
+               "a valid UTF-8 name in another script was refused");
 }
 
-BOOST_AUTO_TEST_CASE(OfSettingsAreTakenOrRefusedWithTheirFaults)
+BOOST_AUTO_TEST_CASE(OfSettingsAreAcceptedOrRefusedWithTheirErrors)
 {
     Bytes bytes(5);
     Tally tally;
@@ -486,12 +487,12 @@
     for (int round = 0; round < rounds; ++round) {
         const auto settings = parseSettings(bytes.below(8) == 0 ? bytes.random(80) : bytes.damaged(text));
         tally.count(settings.has_value());
-        BOOST_TEST((settings || typedFaults(settings.error())));
+        BOOST_TEST((settings || hasTypedErrors(settings.error())));
     }
     tally.expectBoth("settings");
 }
 
-BOOST_AUTO_TEST_CASE(OfOperatorsFilesAreTakenOrRefusedWithTheirFaults)
+BOOST_AUTO_TEST_CASE(OfOperatorsFilesAreAcceptedOrRefusedWithTheirErrors)
 {
     Bytes bytes(6);
     Tally tally;
@@ -499,24 +500,24 @@
     for (int round = 0; round < slowRounds * 4; ++round) {
         const auto parsed = parseConfiguration(std::string_view(bytes.below(8) == 0 ? bytes.random(80) : bytes.damaged(text)));
         tally.count(parsed.has_value());
-        BOOST_TEST((parsed || typedFaults(parsed.error())));
+        BOOST_TEST((parsed || hasTypedErrors(parsed.error())));
     }
     tally.expectBoth("configuration files");
 }
 
-// Symptom: egrettidectl ends with an uncaught exception in place of the file's faults.
-// Sequence: an operator's file holds a number that no double can hold.
-// Cause: the JSON library has an exception of its own for that, which nobody caught.
+// An operator's file contains a number beyond the range of a double. The JSON library throws
+// a separate exception type for this; uncaught, it would end egrettidectl instead of listing
+// the errors of the file.
 BOOST_AUTO_TEST_CASE(OfOperatorsFilesMayHoldNumbersBeyondAnyType)
 {
     for (const char *text : {"1e999", "[-1e999]", R"({"databases":[],"classes":[{"name":"a","priority":1e999}]})"}) {
         const auto parsed = parseConfiguration(std::string_view(text));
         BOOST_REQUIRE_MESSAGE(!parsed.has_value(), "this should be refused: " << text);
-        BOOST_TEST(typedFaults(parsed.error()));
+        BOOST_TEST(hasTypedErrors(parsed.error()));
     }
 }
 
-BOOST_AUTO_TEST_CASE(OfTheConfigurationObjectAreTakenOrRefused)
+BOOST_AUTO_TEST_CASE(OfTheConfigurationObjectAreAcceptedOrRefused)
 {
     Bytes bytes(7);
     Tally tally;
@@ -525,7 +526,7 @@
     for (int round = 0; round < slowRounds * 4; ++round) {
         json object = json::parse(bytes.damaged(text), nullptr, false);
         if (object.is_discarded()) {
-            // Most damage ends the JSON; then one value is replaced instead.
+            // Most corruptions make the JSON invalid; in that case one value is replaced instead.
             object = whole;
             const json flat = whole.flatten();
             const auto place = std::next(flat.begin(), static_cast<std::ptrdiff_t>(bytes.below(flat.size())));
@@ -534,7 +535,7 @@
         }
         const auto parsed = parseConfigurationObject(object, 3);
         tally.count(parsed.has_value());
-        BOOST_TEST((parsed || typedFaults(parsed.error())));
+        BOOST_TEST((parsed || hasTypedErrors(parsed.error())));
         static_cast<void>(parseConfigurationHead(object));
     }
     tally.expectBoth("configuration objects");
@@ -579,9 +580,9 @@
     tally.expectBoth("store answers");
 }
 
-// Symptom: egrettidectl ends with an uncaught exception.
-// Sequence: what answers at the operators' address is no egrettide host, or another release.
-// Cause: the answer's fields were taken for text unseen.
+// The server at the operator address is not an egrettide host, or runs another release. If the
+// fields of its answer were used as text without a type check, egrettidectl would end with an
+// uncaught exception.
 BOOST_AUTO_TEST_CASE(OfHostsToOperatorsAreAnswersOrExitCodes)
 {
     Bytes bytes(9);
@@ -606,7 +607,7 @@
         const CommandResult result = round % 2 == 0 ? commands.switchover("booking", "b") : commands.drain("h1");
         complaints += result.code == ExitCode::Done ? 0 : 1;
         BOOST_TEST((result.code == ExitCode::Done || !result.complaint.empty()),
-                   "no word on exit code " << static_cast<int>(result.code));
+                   "no message for exit code " << static_cast<int>(result.code));
     }
     BOOST_TEST(complaints > 0);
 }
@@ -653,9 +654,9 @@
     Tally tally;
     for (int round = 0; round < slowRounds; ++round) {
         const std::string request = bytes.below(5) == 0 ? bytes.random(300) : bytes.damaged(valid);
-        tally.count(askRaw(*port, request).starts_with("HTTP/1.1 200"));
+        tally.count(sendRaw(*port, request).starts_with("HTTP/1.1 200"));
     }
-    BOOST_TEST(askRaw(*port, valid).starts_with("HTTP/1.1 200"), "the server no longer answers a valid request");
+    BOOST_TEST(sendRaw(*port, valid).starts_with("HTTP/1.1 200"), "the server no longer answers a valid request");
     server.stop();
     guard.reset();
     context.stop();
@@ -664,7 +665,7 @@
     BOOST_TEST(handled > 0);
 }
 
-BOOST_AUTO_TEST_CASE(OfSessionTokensAreOursOrRefused)
+BOOST_AUTO_TEST_CASE(OfSessionTokensAreValidOrRefused)
 {
     Bytes bytes(10);
     const SessionTokenCodec codec({"key-one", "key-two"});
@@ -676,7 +677,7 @@
         const auto decoded = codec.decode(text);
         tally.count(decoded.has_value());
         BOOST_TEST((decoded ? *decoded == floor : decoded.error().kind == ErrorKind::InvalidInput),
-                   "a token that nobody made was taken");
+                   "a forged token was accepted");
     }
     tally.expectBoth("session tokens");
 }
--- a/tests/runtime/primarywaits_test.cpp
+++ b/tests/runtime/primarywaits_test.cpp
@@ -1,4 +1,4 @@
-// Requests that wait for a primary.
+// Callbacks of requests that wait for a primary.
 
 #define BOOST_TEST_MODULE PrimaryWaits
 #include <boost/test/unit_test.hpp>
@@ -12,7 +12,7 @@
 
 BOOST_AUTO_TEST_SUITE(WaitsForAPrimary)
 
-BOOST_AUTO_TEST_CASE(EndOnceWithTheNewsOfTheirDatabase)
+BOOST_AUTO_TEST_CASE(EndOnceWhenThePrimaryOfTheirDatabaseIsKnown)
 {
     PrimaryWaits waits;
     const auto waiter = std::make_shared<int>(0);
@@ -21,8 +21,8 @@
     waits.add("bookings", waiter, [&bookings] { ++bookings; });
     waits.add("bookings", waiter, [&bookings] { ++bookings; });
     waits.add("pitches", waiter, [&pitches] { ++pitches; });
-    for (const auto &learned : waits.take("bookings")) {
-        learned();
+    for (const auto &onPrimary : waits.take("bookings")) {
+        onPrimary();
     }
     BOOST_TEST(bookings == 2);
     BOOST_TEST(pitches == 0);
@@ -30,24 +30,25 @@
     BOOST_TEST(waits.take("unknown").empty());
 }
 
-// Symptom: a host's memory grows for as long as a database has no primary.
-// Sequence: no news for hours; thousands of requests wait, give up and are gone.
-// Cause: each of them left an entry until the next news.
-BOOST_AUTO_TEST_CASE(OfRequestsThatGaveUpAreForgotten)
+// While a database has no primary, for hours perhaps, thousands of requests wait for one and
+// give up. If each of them left an entry until the next primary is known, the memory of the
+// host would grow without bound.
+BOOST_AUTO_TEST_CASE(OfRequestsThatGaveUpAreRemoved)
 {
     PrimaryWaits waits;
-    const auto patient = std::make_shared<int>(0);
-    bool learned = false;
-    waits.add("bookings", patient, [&learned] { learned = true; });
+    const auto liveWaiter = std::make_shared<int>(0);
+    bool isCalled = false;
+    waits.add("bookings", liveWaiter, [&isCalled] { isCalled = true; });
     for (int i = 0; i < 10000; ++i) {
         const auto waiter = std::make_shared<int>(i);
         waits.add("bookings", waiter, [] {});
     }
-    BOOST_TEST(waits.held("bookings") <= 128U, waits.held("bookings") << " entries of 10,000 requests that are gone");
-    for (const auto &each : waits.take("bookings")) {
-        each();
+    BOOST_TEST(waits.entryCount("bookings") <= 128U,
+               waits.entryCount("bookings") << " entries of 10,000 requests that have ended");
+    for (const auto &onPrimary : waits.take("bookings")) {
+        onPrimary();
     }
-    BOOST_TEST(learned, "who still waits must not be forgotten");
+    BOOST_TEST(isCalled, "the entry of a live waiter was removed");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/runtime/requestrunner_test.cpp
+++ b/tests/runtime/requestrunner_test.cpp
@@ -1,5 +1,5 @@
-// One request on its way to its one answer: when it is counted against a quota, and what is
-// told when it may not start.
+// Requests and quotas: when a request counts, and what the caller receives when it must not
+// start.
 
 #define BOOST_TEST_MODULE RequestRunner
 #include <boost/test/unit_test.hpp>
@@ -19,11 +19,12 @@
 namespace
 {
 
-// A front's part without sockets: homes answer as the test says, and so does the quota.
+// Runs requests without sockets. `answer` replies in place of the homes; `quota` requests are
+// admitted.
 struct Runner {
     using Answer = std::function<StatementReply(const StatementRequest &)>;
 
-    explicit Runner(Answer answerOfHomes) : answer(std::move(answerOfHomes))
+    explicit Runner(Answer homeAnswer) : answer(std::move(homeAnswer))
     {
         auto configuration = std::make_shared<Configuration>();
         DatabaseSpec database;
@@ -95,7 +96,7 @@
 
 BOOST_AUTO_TEST_SUITE(RequestRunners)
 
-BOOST_AUTO_TEST_CASE(CountOnceWhatIsAnswered)
+BOOST_AUTO_TEST_CASE(CountAnAnsweredRequestOnce)
 {
     Runner runner([](const StatementRequest &) { return StatementReply{}; });
     BOOST_TEST(!runner.run(readOf("desk")).error.has_value());
@@ -104,7 +105,7 @@
     BOOST_TEST(runner.counted == 1, "a caller without a workspace was counted");
 }
 
-BOOST_AUTO_TEST_CASE(SendNothingThatMayNotStart)
+BOOST_AUTO_TEST_CASE(SendNothingBeyondTheQuota)
 {
     Runner runner([](const StatementRequest &) { return StatementReply{}; });
     runner.quota = 0;
@@ -115,13 +116,12 @@
     BOOST_TEST(runner.sends == 0);
 }
 
-BOOST_AUTO_TEST_CASE(CountAgainWhatIsSentAnewAfterItMayHaveRun)
+BOOST_AUTO_TEST_CASE(CountRetriesOfRequestsThatMayHaveRun)
 {
-    // Symptom: a workspace gets more than its quota while answers are lost, or a caller is
-    // told that nothing has run although it may have.
-    // Sequence: a read is sent and its answer is lost; it is sent anew to another upstream,
-    // or refused there since the workspace is beyond its quota by now.
-    // Cause: only the first sending was counted, or the refusal of the second stood for both.
+    // A read is sent, its answer is lost, and the retry is sent to another upstream or refused
+    // by the quota. If only the first attempt counted, the workspace would exceed its quota
+    // while answers are lost. If the refusal of the retry were reported for both attempts, the
+    // caller would receive "not run" for a request that may have run.
     Runner counting(lost);
     counting.quota = 100;
     counting.run(readOf("desk"));
@@ -131,7 +131,7 @@
     Runner refusing(lost);
     const StatementReply reply = refusing.run(readOf("desk"));
     BOOST_TEST(refusing.sends == 1);
-    BOOST_TEST(reply.sent, "a request that had been sent is told as one that never left");
+    BOOST_TEST(reply.sent, "a request that was sent is reported as never sent");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
