--- a/src/runtime/fleet/membershipdriver.cpp
+++ b/src/runtime/fleet/membershipdriver.cpp
@@ -1,4 +1,4 @@
-// Gives Membership its time and its messages.
+// Runs Membership on the control thread: timers, gossip messages and the host list.
 
 #include "runtime/fleet/membershipdriver.h"
 
@@ -36,8 +36,8 @@
     registerSelf();
 }
 
-// Before the first look at the list: of two hosts that start together, at least the
-// one that registers later sees the other.
+// Runs before the first read of the host list, so that of two hosts that start together
+// at least the one that registers later sees the other.
 void MembershipDriver::registerSelf()
 {
     m_store.registerHost(m_self, Clock::now() + listTimeout, [this](const tl::expected<void, StoreError> &registered) {
@@ -48,8 +48,8 @@
             log::warning("host_not_registered", {{"error", registered.error().error.message}});
             registerSelfIn(listInterval);
         }
-        if (!m_reads) {
-            m_reads = true;
+        if (!m_readsHostList) {
+            m_readsHostList = true;
             fetchHostList();
         }
     });
@@ -73,8 +73,8 @@
     return m_membership.hasMetZone();
 }
 
-// Also called when an event may have made the next tick earlier: news would
-// otherwise wait for the old timer.
+// Also called after an event that may have moved the next tick to an earlier time; a change
+// would otherwise be sent only when the old timer fires.
 void MembershipDriver::scheduleTick()
 {
     if (m_stopped || m_tickTimer.expiry() == m_membership.nextTick()) {
@@ -109,8 +109,8 @@
 
 void MembershipDriver::readHostList()
 {
-    // One reader for each zone keeps the platform's load independent of the fleet;
-    // a host that knows nobody else has to read for itself.
+    // One store reader per zone keeps the load on the store independent of the number of
+    // hosts; a host without known live peers has to read the list itself.
     if (m_membership.liveCount() > 1 && !m_hooks.isWatcher()) {
         readHostListLater();
         return;
@@ -128,13 +128,13 @@
     });
 }
 
-// Every host begins with this, whoever reads the list for its zone.
+// Every host reads the list once at its start, also if it is not its zone's store reader.
 //
-// What goes wrong otherwise: all hosts start at once, and one that others have met before
-// it is registered leaves the list to its zone's reader. It never learns who its zone mates
-// are and takes its homes only once its view has stood still for a while. Of the homes of
-// nine hosts that lost power together 10% were taken more than 0.15 s after the last host
-// had started; 5% with this and with the introductions of Membership (60 and 80 plays).
+// Without this, a host that peers discover by gossip before it has registered leaves the
+// list to its zone's reader. It does not learn all hosts of its zone and takes its homes
+// only after its view has been stable for some time. Measured with nine hosts that lost
+// power together: 10% of the homes were taken more than 0.15 s after the last host had
+// started; 5% with this read and the introductions of Membership (60 and 80 runs).
 void MembershipDriver::fetchHostList()
 {
     m_store.hosts(Clock::now() + listTimeout, [this](const tl::expected<std::vector<ListedHost>, StoreError> &answer) {
@@ -156,7 +156,7 @@
 {
     deliver(m_membership.onMessage(message, Clock::now()));
     if (const auto holder = m_membership.holderOfHighestCatalog()) {
-        m_hooks.catalogHeard(*holder, m_membership.highestCatalogVersion());
+        m_hooks.catalogAdvertised(*holder, m_membership.highestCatalogVersion());
     }
 }
 
@@ -200,15 +200,15 @@
         m_hooks.reachChanged(reach);
     }
     const auto view = m_membership.view();
-    const bool metZone = m_membership.hasMetZone();
-    const bool isNews =
-        view->placementVersion != m_published || view->trusted != m_publishedTrusted || metZone != m_publishedMetZone;
-    if (!isNews) {
+    const bool zoneDiscovered = m_membership.hasMetZone();
+    const bool isChanged = view->placementVersion != m_publishedPlacement || view->trusted != m_publishedTrusted
+        || zoneDiscovered != m_publishedZoneDiscovered;
+    if (!isChanged) {
         return;
     }
-    m_published = view->placementVersion;
+    m_publishedPlacement = view->placementVersion;
     m_publishedTrusted = view->trusted;
-    m_publishedMetZone = metZone;
+    m_publishedZoneDiscovered = zoneDiscovered;
     log::info("membership_changed", {{"view", view->version}, {"live", m_membership.liveCount()}, {"trusted", view->trusted}});
     m_hooks.changed(view);
 }
--- a/src/runtime/fleet/membershipdriver.h
+++ b/src/runtime/fleet/membershipdriver.h
@@ -1,4 +1,4 @@
-// Gives Membership its time and its messages, and the platform's host list.
+// Runs Membership on the control thread: timers, gossip messages and the host list of the store.
 
 #pragma once
 
@@ -19,14 +19,14 @@
 
 struct MembershipDriverHooks {
     std::function<void(const std::string &host, const std::string &address, hop::HopMessage)> send;
-    // Who is there or who leaves has changed, whether the view is trusted, or whether
-    // this zone's listed hosts are all known.
+    // Called when the set of live or leaving hosts changes, when the view becomes trusted or
+    // untrusted, or when Membership::hasMetZone() changes.
     std::function<void(std::shared_ptr<const MembershipView>)> changed;
-    // Which other hosts answer has changed.
+    // Called when the number of reachable or lost hosts changes.
     std::function<void(const HostReach &reach)> reachChanged;
-    // The highest configuration version heard of, and a host that has it.
-    std::function<void(const std::string &host, const CatalogVersion &version)> catalogHeard;
-    // True when this host reads the platform's list for its zone.
+    // Called with the highest configuration version received by gossip, and a host that has it.
+    std::function<void(const std::string &host, const CatalogVersion &version)> catalogAdvertised;
+    // True when this host is the store reader of its zone.
     std::function<bool()> isWatcher;
 };
 
@@ -44,12 +44,12 @@
     void onGossip(const GossipMessage &message);
     void onUnreachable(const std::string &host);
     void setCatalogVersion(const CatalogVersion &version);
-    // Puts this host on the platform's list once more, within the time that all hosts take for
-    // it: the store came back from a copy that may be older than its entry.
+    // Registers this host in the store again after a delay that spreads the writes of all hosts.
+    // Called when the store was restored from a copy that may be older than this host's entry.
     void registerAgain();
-    // Tells the others that this host takes nothing new from now on.
+    // Announces to the other hosts that this host accepts no new work from now on.
     void leave();
-    // Tells the others that this host is gone.
+    // Announces to the other hosts that this host has left, and removes it from the host list.
     void depart();
 
     std::shared_ptr<const MembershipView> view() const;
@@ -73,15 +73,15 @@
     Timer m_tickTimer;
     Timer m_listTimer;
     Timer m_registerTimer;
-    // The placement version last handed to `changed`.
-    std::uint64_t m_published = 0;
+    // The placement version that was last passed to `changed`.
+    std::uint64_t m_publishedPlacement = 0;
     bool m_publishedTrusted = false;
-    bool m_publishedMetZone = false;
-    // What was last handed to `reachChanged`.
+    bool m_publishedZoneDiscovered = false;
+    // The value that was last passed to `reachChanged`.
     HostReach m_publishedReach;
-    // True once the list is read at its interval.
-    bool m_reads = false;
-    // True once this host has taken itself off the list.
+    // True once the periodic reading of the host list has started.
+    bool m_readsHostList = false;
+    // True once this host has removed itself from the host list.
     bool m_departed = false;
     bool m_stopped = false;
     std::mt19937_64 m_random;
--- a/src/runtime/fleet/partitiondriver.cpp
+++ b/src/runtime/fleet/partitiondriver.cpp
@@ -1,4 +1,4 @@
-// Time, the store and the log around PartitionDetector.
+// Runs PartitionDetector: timers, queries to the store and log lines.
 
 #include "runtime/fleet/partitiondriver.h"
 
@@ -61,7 +61,7 @@
     });
 }
 
-// Any call that brings an answer will do; the list of hosts is the cheapest.
+// Only whether the store answers matters; the host list is the cheapest call.
 void PartitionDriver::askStore()
 {
     m_store.hosts(Clock::now() + m_options.askAgain, [this](const tl::expected<std::vector<ListedHost>, StoreError> &answer) {
--- a/src/runtime/fleet/partitiondriver.h
+++ b/src/runtime/fleet/partitiondriver.h
@@ -1,4 +1,4 @@
-// Gives PartitionDetector its time and the store's answers, and logs what it decides.
+// Runs PartitionDetector with timers and the answers of the store, and logs its decisions.
 
 #pragma once
 
@@ -18,16 +18,16 @@
 class PartitionDriver
 {
 public:
-    // `moveCallers` ends the sessions that are open, each when nothing of it is under way.
-    // The store outlives this object.
+    // `moveCallers` closes the open sessions, each once it has no request or transaction in progress.
+    // The store must outlive this object.
     PartitionDriver(boost::asio::io_context &control, Store &store, const PartitionOptions &options,
                     std::function<void()> moveCallers);
     PartitionDriver(const PartitionDriver &) = delete;
     PartitionDriver &operator=(const PartitionDriver &) = delete;
 
-    // The membership sees the other hosts otherwise than before.
+    // The reachability of the other hosts has changed.
     void onReach(const HostReach &reach);
-    // The balancer was told whether this host is ready.
+    // A readiness check of the load balancer was answered with `ready`.
     void onReadinessTold(bool ready);
     bool isCutOff() const;
 
--- a/src/runtime/fleet/peerinbound.cpp
+++ b/src/runtime/fleet/peerinbound.cpp
@@ -1,4 +1,4 @@
-// Links that peers dialled, and their requests to this host as home.
+// Links that peers dialed, and their requests to this host as home.
 
 #include "runtime/fleet/peernetworkstate.h"
 
@@ -13,8 +13,8 @@
 namespace
 {
 
-// A dialler closes idle links; an accepted link that is silent for so many idle
-// timeouts has lost its dialler without notice.
+// The dialing host closes idle links. An accepted link that is silent for this many idle
+// timeouts has lost its peer without a notification.
 constexpr int silentIdleTimeouts = 2;
 
 } // namespace
@@ -65,7 +65,7 @@
     if (hello == nullptr || from.ready) {
         return false;
     }
-    // Answered even to another version, so that the other side can say why.
+    // Answered also for another protocol version, so that the peer can report the mismatch.
     writeMessage(*from.link, m_options.self);
     if (hello->version != hop::protocolVersion || hello->host.empty()) {
         return false;
@@ -108,8 +108,8 @@
 void PeerNetwork::State::serve(Inbound &from, StatementRequest request, std::size_t bytes)
 {
     const std::uint64_t id = request.id;
-    // A sender that ignores its credit would fill this host's memory; a second
-    // request with an id under way could be given the first one's answer.
+    // A sender that exceeds its credit could exhaust the memory of this host. A second request
+    // with the id of an unanswered one could receive the answer of the first.
     const bool overrun = from.servedBytes > m_options.windowBytes + hop::maxFrameBytes;
     if (overrun || !from.served.emplace(id, ServedRequest{bytes, request.transaction, request.kind}).second) {
         from.link->close();
@@ -124,7 +124,8 @@
     };
     if (!m_hooks.onRequest) {
         StatementReply refusal;
-        refusal.error = Error{ErrorKind::Moved, "This host is no home; ask again.", overloadedRetry};
+        refusal.error =
+            Error{ErrorKind::Moved, "This host is not the home of the upstream; send the request again.", overloadedRetry};
         reply(std::move(refusal));
         return;
     }
@@ -149,10 +150,11 @@
     from.transactions.onReply(request.transaction, reply);
     reply.id = requestId;
     if (reply.bytes.size() + requestOverheadBytes > hop::maxFrameBytes) {
-        // It ran, so "not run" would be false for anything that writes.
+        // The request has run, so "not run" would be wrong for a write.
         const bool read = request.kind == StatementKind::Read;
-        reply.error = Error{read ? ErrorKind::Unsupported : ErrorKind::UnknownOutcome,
-                            "The answer is larger than a hop carries; ask for fewer rows at once.", milliseconds{0}};
+        reply.error =
+            Error{read ? ErrorKind::Unsupported : ErrorKind::UnknownOutcome,
+                  "The answer is larger than a frame between hosts may be; request fewer rows at once.", milliseconds{0}};
         reply.bytes.clear();
         reply.sent = true;
     }
@@ -179,11 +181,11 @@
     }
 }
 
-void PeerNetwork::State::keepInbound(Inbound &from, TimePoint now)
+void PeerNetwork::State::checkInbound(Inbound &from, TimePoint now)
 {
     const bool working = !from.served.empty() || !from.transactions.empty();
-    // One interval more than the dialler allows: the side that can tell its
-    // caller what happened should notice first.
+    // One interval more than the dialing host allows: the side that can report the outcome to
+    // its caller should detect the loss first.
     const Clock::duration workingSilence = m_options.pingInterval * (m_probing.mostMissed + 1);
     const Clock::duration idleSilence = m_options.idleTimeout * silentIdleTimeouts;
     const Clock::duration silence = now - from.link->lastReceivedAt();
--- a/src/runtime/fleet/peerlink.cpp
+++ b/src/runtime/fleet/peerlink.cpp
@@ -1,4 +1,4 @@
-// Reading, batching and closing of one link.
+// Reading, write batching and closing of one link.
 
 #include "runtime/fleet/peerlink.h"
 
@@ -18,7 +18,7 @@
 {
 
 constexpr std::size_t readBytes = std::size_t{64} * 1024;
-// A buffer that grew beyond this for one large answer is given back.
+// A buffer that grew beyond this size for one large answer is released.
 constexpr std::size_t keptBufferBytes = std::size_t{64} * 1024;
 
 } // namespace
@@ -31,8 +31,8 @@
 void PeerLink::start(PeerLinkHooks hooks)
 {
     m_hooks = std::move(hooks);
-    // Requests and answers are small and each waits for the next: Nagle's
-    // algorithm would hold them back for a round trip.
+    // Requests and answers are small and alternate; Nagle's algorithm would delay them by a
+    // round trip.
     boost::system::error_code ignored;
     setLastingOptions(m_socket);
     m_socket.non_blocking(true, ignored);
@@ -46,18 +46,18 @@
     }
     m_queuedBytes += frame.size();
     m_queue.push_back(std::move(frame));
-    wake();
+    scheduleFill();
 }
 
-void PeerLink::wake()
+void PeerLink::scheduleFill()
 {
-    if (m_wakePending || !m_open || !m_writing.empty()) {
+    if (m_fillPending || !m_open || !m_writing.empty()) {
         return;
     }
-    // Deferred so that all frames of one event loop turn share one write.
-    m_wakePending = true;
+    // Deferred so that all frames of one event loop iteration share one write.
+    m_fillPending = true;
     boost::asio::post(m_socket.get_executor(), [link = shared_from_this()] {
-        link->m_wakePending = false;
+        link->m_fillPending = false;
         link->beginWrite();
     });
 }
@@ -121,8 +121,8 @@
                         });
 }
 
-// Reads into one buffer per thread: a buffer per link would cost a host with a
-// thousand links more memory than all its other control state.
+// All links of a thread share one read buffer: with a thousand links, a buffer per link
+// would use more memory than all other control state of the host.
 void PeerLink::onReadable()
 {
     thread_local std::array<char, readBytes> buffer;
@@ -145,8 +145,8 @@
     resumeReading();
 }
 
-// False when the peer sent something that is no frame: the stream cannot be
-// followed any more, and guessing would hand one caller another's answer.
+// Returns false when the received bytes are not a valid frame. The stream cannot be
+// resynchronized then: a wrong guess could deliver one caller's answer to another.
 bool PeerLink::deliverFrames()
 {
     while (m_open) {
--- a/src/runtime/fleet/peerlink.h
+++ b/src/runtime/fleet/peerlink.h
@@ -1,5 +1,5 @@
-// One TCP link to a peer: reads verified frames, writes queued ones in batches,
-// and knows since when it has been silent. It decides nothing about requests.
+// One TCP link to a peer: reads verified frames, writes queued frames in batches, and records
+// when bytes were last received and sent. It has no knowledge of requests.
 
 #pragma once
 
@@ -18,15 +18,15 @@
 namespace egrettide
 {
 
-// What one read or write of a link moved, for its owner's counters.
+// Callbacks of a link to its owner.
 struct PeerLinkHooks {
-    // A whole, verified message and the size of its frame.
+    // Called with a complete, verified message and the size of its frame.
     std::function<void(hop::HopMessage message, std::size_t frameBytes)> onMessage;
-    // Called when the socket is ready for more, after the queue was taken: the
-    // owner appends whole frames to `buffer`. What is appended counts as sent.
+    // Called when the socket accepts more data, after the queue has been moved to the write
+    // buffer: the owner appends whole frames to `buffer`. Appended frames count as sent.
     std::function<void(std::string &buffer)> fill;
-    // The link is closed and will call no more hooks; called at most once, and
-    // never from within a call of the owner.
+    // Called at most once, after the link has closed, and never from within a call of the
+    // owner. No other hook is called afterwards.
     std::function<void()> onClosed;
 };
 
@@ -34,12 +34,12 @@
 class PeerLink : public std::enable_shared_from_this<PeerLink>
 {
 public:
-    // Frames are gathered up to this size for one write.
+    // Maximum bytes of frames that are combined into one write.
     static constexpr std::size_t writeBytes = std::size_t{256} * 1024;
 
-    // Takes a connected socket. `pauseBytes` bounds the queue: while more is
-    // queued, nothing is read, so that a peer which does not take its answers
-    // cannot make this host hold ever more of them. 0 means never to pause.
+    // Takes ownership of a connected socket. While more than `pauseBytes` are queued, the link
+    // reads nothing: a peer that does not read its answers cannot make the queue grow without
+    // bound. 0 disables the pause.
     PeerLink(boost::asio::ip::tcp::socket socket, std::size_t pauseBytes);
     PeerLink(const PeerLink &) = delete;
     PeerLink &operator=(const PeerLink &) = delete;
@@ -47,19 +47,19 @@
     void start(PeerLinkHooks hooks);
     // Queues a whole frame behind those already queued.
     void write(std::string frame);
-    // Makes the link call `fill` soon; call it when there is something to append.
-    void wake();
-    // Closes the socket and reports onClosed later. What was queued is lost.
+    // Schedules a call of `fill`; the owner calls this when it has frames to append.
+    void scheduleFill();
+    // Closes the socket and calls onClosed later. Queued frames are lost.
     void close();
-    // Closes without a report; for owners that go away.
+    // Closes without calling onClosed; for owners that are being destroyed.
     void abandon();
 
     bool isOpen() const;
-    // When the last bytes came from the peer.
+    // When bytes were last received from the peer.
     TimePoint lastReceivedAt() const;
-    // When the last bytes left or came.
+    // When bytes were last sent or received.
     TimePoint lastUsedAt() const;
-    // Bytes queued or in the write under way.
+    // Bytes that are queued or in the current write.
     std::size_t unwrittenBytes() const;
 
 private:
@@ -78,10 +78,10 @@
     std::deque<std::string> m_queue;
     // Sum of the sizes in m_queue.
     std::size_t m_queuedBytes = 0;
-    // The write under way; empty when there is none.
+    // The data of the current write; empty when there is none.
     std::string m_writing;
-    bool m_wakePending = false;
-    // Invariant: at most one read is under way, and none while paused.
+    bool m_fillPending = false;
+    // Invariant: at most one read is pending, and none while paused.
     bool m_reading = false;
     bool m_open = true;
     TimePoint m_lastReceivedAt;
--- a/src/runtime/fleet/peernetwork.cpp
+++ b/src/runtime/fleet/peernetwork.cpp
@@ -18,8 +18,8 @@
 namespace
 {
 
-// Messages other than requests that wait for a link; older ones are dropped,
-// since all of them are repeated by whoever needs them.
+// Maximum number of messages other than requests that wait for a link. The oldest ones are
+// dropped, since senders repeat all messages that need an answer.
 constexpr std::size_t maxWaitingMessages = 64;
 constexpr int listenBacklog = 512;
 
@@ -62,15 +62,15 @@
     if (m_stopped) {
         return;
     }
-    // These speak about what went over the link that we dialled; without that
-    // link the home has rolled everything back already.
+    // These messages refer to requests sent over the link that this host dialed. Without that
+    // link, the home has already rolled everything back.
     const bool boundToLink = std::holds_alternative<hop::Cancel>(message) || std::holds_alternative<hop::FrontGone>(message);
     const auto found = m_outbound.find(peer);
-    const bool dialled = found != m_outbound.end() && found->second->ready && found->second->address == address;
-    if (boundToLink && !dialled) {
+    const bool hasDialedLink = found != m_outbound.end() && found->second->ready && found->second->address == address;
+    if (boundToLink && !hasDialedLink) {
         return;
     }
-    if (!dialled) {
+    if (!hasDialedLink) {
         if (Inbound *inbound = readyInboundOf(peer)) {
             sendMessage(*inbound->link, inbound->probe, message);
             return;
@@ -189,14 +189,14 @@
 
 std::size_t PeerNetwork::State::linkCount() const
 {
-    const auto dialled =
+    const auto outboundLinks =
         std::count_if(m_outbound.begin(), m_outbound.end(), [](const auto &entry) { return entry.second->ready; });
-    return static_cast<std::size_t>(dialled) + m_inbound.size();
+    return static_cast<std::size_t>(outboundLinks) + m_inbound.size();
 }
 
 // --- Both directions --------------------------------------------------------
 
-// Gives the size of the frame, 0 when the link is closed.
+// Returns the size of the frame; 0 when the link is closed.
 std::size_t PeerNetwork::State::writeMessage(PeerLink &link, const hop::HopMessage &message)
 {
     if (!link.isOpen()) {
@@ -209,11 +209,11 @@
     return bytes;
 }
 
-// A message that no answer to this host follows on the link: the link is probed for it.
+// Sends a message that has no answer on this link, and has the link probed.
 void PeerNetwork::State::sendMessage(PeerLink &link, LinkProbe &probe, const hop::HopMessage &message)
 {
     writeMessage(link, message);
-    // Membership notices by itself that a heartbeat is not answered, and sends several a second.
+    // Membership itself detects unanswered heartbeats, and sends several of them a second.
     if (!std::holds_alternative<hop::Gossip>(message)) {
         probe.doubt(Clock::now());
     }
@@ -221,8 +221,8 @@
 
 void PeerNetwork::State::probe(PeerLink &link, LinkProbe &probe, const std::string &peer, bool working, TimePoint now)
 {
-    const TimePoint heardAt = link.lastReceivedAt();
-    switch (probe.next(heardAt, working, now)) {
+    const TimePoint receivedAt = link.lastReceivedAt();
+    switch (probe.next(receivedAt, working, now)) {
     case LinkProbeStep::Wait:
         break;
     case LinkProbeStep::Ping:
@@ -230,15 +230,15 @@
         break;
     case LinkProbeStep::GiveUp:
         log::info("peer_link_silent",
-                  {{"peer", peer}, {"silent_ms", std::chrono::duration_cast<milliseconds>(now - heardAt).count()}});
+                  {{"peer", peer}, {"silent_ms", std::chrono::duration_cast<milliseconds>(now - receivedAt).count()}});
         link.close();
-        doubtAll(now);
+        markAllUnproven(now);
         break;
     }
 }
 
-// Links often go silent together, and each of them would lose what is sent on it first.
-void PeerNetwork::State::doubtAll(TimePoint now)
+// Links often become silent together, and each of them would lose the first messages sent on it.
+void PeerNetwork::State::markAllUnproven(TimePoint now)
 {
     for (const auto &[host, to] : m_outbound) {
         to->probe.doubt(now);
@@ -258,7 +258,7 @@
 namespace
 {
 
-// Requests, their answers and the credit for them; all else is control traffic.
+// Requests, their answers and the credit for them; all other messages are control traffic.
 bool isRequestTraffic(const hop::HopMessage &message)
 {
     return std::holds_alternative<hop::ExecuteRequest>(message) || std::holds_alternative<hop::ExecuteReply>(message)
@@ -280,8 +280,8 @@
     (isRequestTraffic(message) ? m_traffic.requestBytesReceived : m_traffic.controlBytesReceived) += bytes;
 }
 
-// The one that spoke last: a host that gave a dead link up has dialled anew, and the dead one
-// still looks open here.
+// Returns the link that received data last: a host that abandoned a broken link has dialed
+// again, while the broken link still appears open here.
 Inbound *PeerNetwork::State::readyInboundOf(const std::string &host)
 {
     const auto range = m_inboundByHost.equal_range(host);
@@ -297,7 +297,7 @@
 
 // --- Timers -----------------------------------------------------------------
 
-// Silence matters while somebody waits for a peer, and less so while news may have been lost.
+// Silence is checked more often while a request waits for a peer than while only messages may be lost.
 milliseconds PeerNetwork::State::housekeepingInterval() const
 {
     const auto isUnproven = [](const auto &entry) {
@@ -319,27 +319,27 @@
     m_housekeeping.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto self = weak.lock();
         if (!error && self && !self->m_stopped) {
-            self->keepHouse();
+            self->runHousekeeping();
             self->scheduleHousekeeping();
         }
     });
 }
 
-void PeerNetwork::State::keepHouse()
+void PeerNetwork::State::runHousekeeping()
 {
     const TimePoint now = Clock::now();
-    // After a pause of this process what peers sent meanwhile is still unread:
-    // judging their silence now would cut links that are fine.
-    if (now - m_keptHouseAt > m_options.pingInterval * 2) {
-        m_judgesSilenceFrom = now + m_options.pingInterval * m_probing.mostMissed;
+    // After a suspension of this process, data that peers sent in the meantime is still unread:
+    // checking for silence now would close healthy links.
+    if (now - m_lastHousekeepingAt > m_options.pingInterval * 2) {
+        m_checkSilenceFrom = now + m_options.pingInterval * m_probing.mostMissed;
     }
-    m_keptHouseAt = now;
+    m_lastHousekeepingAt = now;
     for (const auto &[host, to] : m_outbound) {
-        keepOutbound(*to, now);
+        checkOutbound(*to, now);
     }
-    if (now >= m_judgesSilenceFrom) {
+    if (now >= m_checkSilenceFrom) {
         for (const auto &[id, from] : m_inbound) {
-            keepInbound(*from, now);
+            checkInbound(*from, now);
         }
     }
     if (m_acceptFailed) {
@@ -378,14 +378,14 @@
 {
     const TimePoint now = Clock::now();
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
-        // Giving up erases the entry along with the request.
+        // This erases the deadline entry along with the request.
         const DeadlineKey key = m_deadlines.begin()->second;
         cancel(key.first, key.second);
     }
     scheduleDeadlines();
 }
 
-// --- The public face --------------------------------------------------------
+// --- Public interface -------------------------------------------------------
 
 PeerNetwork::PeerNetwork(boost::asio::io_context &context, PeerNetworkOptions options, PeerNetworkHooks hooks)
     : m_state(std::make_shared<State>(context, std::move(options), std::move(hooks)))
--- a/src/runtime/fleet/peernetwork.h
+++ b/src/runtime/fleet/peernetwork.h
@@ -1,5 +1,5 @@
-// Links to the other hosts: dials them by IP and port, multiplexes requests to
-// homes over one link each, and says exactly what became of every request.
+// Links to the other hosts: dials them by IP address and port, multiplexes the requests to a
+// host over one link, and reports the outcome of every request.
 
 #pragma once
 
@@ -18,12 +18,12 @@
 namespace egrettide
 {
 
-// One link of a peer. A peer has one link for each of its threads that dials
-// us, so a home ties open transactions to the link and not to the host: losing
-// one link must not roll back transactions that came over another.
+// One link of a peer. A peer has one link for each of its threads that dials this host.
+// A home therefore associates open transactions with the link and not with the host: losing
+// one link must not roll back transactions of another.
 struct PeerRef {
     std::string host;
-    // Unique within one PeerNetwork and never used again.
+    // Unique within one PeerNetwork; never reused.
     std::uint64_t link = 0;
 
     auto operator<=>(const PeerRef &) const = default;
@@ -40,116 +40,112 @@
 };
 
 struct PeerNetworkOptions {
-    // Who this host is; told to every peer.
+    // Identifies this host; sent to every peer.
     hop::Hello self;
-    // "IP:port" to listen on; empty when this instance only dials. Port 0 takes a free one.
+    // "IP:port" to listen on; empty when this instance only dials. Port 0 selects a free port.
     std::string listenAddress;
-    // Request bytes that one link may have unanswered at its receiver.
+    // Maximum bytes of unanswered requests on one link; the receiver grants them as credit.
     std::size_t windowBytes = std::size_t{8} * 1024 * 1024;
-    // Bytes waiting to be written on one link; beyond it requests are refused.
+    // Maximum bytes waiting to be written on one link; further requests are refused.
     std::size_t queueBytes = std::size_t{8} * 1024 * 1024;
-    // A connection within a region takes a few milliseconds; one that takes longer than
-    // this is better tried anew, as an opening packet that was dropped is only sent again
-    // after a second.
+    // A connection within a region takes a few milliseconds. Dialing again after this timeout is
+    // faster than waiting for TCP, which retransmits a lost SYN only after a second.
     milliseconds connectTimeout{400};
-    // A dialled link without traffic is closed after this.
+    // A dialed link without traffic is closed after this time.
     milliseconds idleTimeout{60000};
-    // See LinkProbeOptions. A link with requests unanswered, or messages sent on it since
-    // the last byte came, is probed.
+    // See LinkProbeOptions. A link is probed while it has unanswered requests, or messages sent
+    // since the last byte was received.
     milliseconds pingInterval{500};
     // See LinkProbeOptions.
     //
-    // What goes wrong with the longer interval alone: a zone is cut off, and everything
-    // that was sent there, or is sent until the link is given up, waits for its deadline:
-    // 150 reads of 450 a second failed so, each after 0.6 to 0.8 s. Hosts that are merely
-    // slow, or wait for their share of the processor for a tenth of a second, answer pings.
+    // With pingInterval alone, requests to a zone that is cut off wait for their deadlines until
+    // the link is closed: of 450 reads a second, 150 failed after 0.6 to 0.8 s. Hosts that are
+    // merely slow, or get no processor time for 100 ms, still answer pings.
     milliseconds quietInterval{80};
     // See LinkProbeOptions.
     milliseconds messageInterval{250};
-    // First and longest pause between two attempts to dial a peer; jittered.
+    // Initial and maximum delay between two attempts to dial a peer; jittered.
     milliseconds firstBackoff{50};
     milliseconds longestBackoff{2000};
     std::uint64_t seed = 1;
-    // Off only in tests that show what goes wrong without them.
+    // Disabled only in tests that demonstrate the failures without them.
     bool matchesAnswersById = true;
     bool admitsUnknownOutcomes = true;
 };
 
 struct PeerNetworkHooks {
-    // A peer asks this host, as home, to run a request. The handler may be called
-    // once, later, on the network's thread; after the link is lost it does nothing.
+    // Called when a peer asks this host, as home, to run a request. The handler may be called
+    // once, later, on the network's thread; after the link is lost it has no effect.
     std::function<void(const PeerRef &from, StatementRequest request, ReplyHandler reply)> onRequest;
-    // Any other message of a peer.
+    // Called for any other message of a peer.
     std::function<void(const PeerRef &from, hop::HopMessage message)> onMessage;
-    // A link of a peer to us is gone: its open transactions have to be rolled
-    // back now, since its front has already been told "not run" for them.
+    // Called when a link that a peer dialed is lost. Its open transactions have to be rolled back
+    // now, since the front has already reported "not run" to its callers.
     std::function<void(const PeerRef &from)> onLinkLost;
-    // A peer could not be reached or its link broke.
+    // Called when a peer cannot be reached or its link breaks.
     std::function<void(const std::string &host)> onUnreachable;
 };
 
-// What a caller is told when the network could not get an answer from the home.
-// Public since the rules are part of the contract with fronts and are tested.
+// The outcome reported to a caller when no answer came from the home. Declared here because
+// the rules are part of the contract with fronts, and for tests.
 namespace detail
 {
 
-// True when the request may have committed something although its answer is
-// lost. A statement of an open transaction cannot, since the home rolls that back
-// with the link, or when the front gives up; unless it is a text of several
-// statements, one of which may be a COMMIT.
+// True when the request may have committed although its answer is lost. A statement of an open
+// transaction cannot: the home rolls the transaction back when the link is lost or the front
+// cancels. The exception is a text of several statements, one of which may be a COMMIT.
 bool mayHaveCommitted(const StatementRequest &request);
 
 } // namespace detail
 
-// All links of one thread. Used from the io_context's thread only, which must be
-// a single thread; the constructor and destructor too, or while it is stopped.
+// All links of one thread. Used only from the thread of the io_context, which must be a single
+// thread. The constructor and destructor run on that thread too, or while the context is stopped.
 class PeerNetwork
 {
 public:
     PeerNetwork(boost::asio::io_context &context, PeerNetworkOptions options, PeerNetworkHooks hooks);
     PeerNetwork(const PeerNetwork &) = delete;
     PeerNetwork &operator=(const PeerNetwork &) = delete;
-    // Closes everything; pending requests are answered first, as by stop().
+    // Answers pending requests, as stop() does, and closes all links.
     ~PeerNetwork();
 
-    // Starts to listen. InvalidInput when the address cannot be used.
+    // Starts listening. Fails with InvalidInput when the address cannot be used.
     tl::expected<void, Error> listen();
-    // The port that it listens on, 0 before listen().
+    // The port of the listener; 0 before listen().
     std::uint16_t port() const;
 
     // Runs a request at its home on another host. The handler is called exactly
     // once, never from within this call. When the reply carries an error of this
-    // network, `sent` says whether the request was handed to the socket, and the
-    // kind follows from it: never written gives Moved, Overloaded or
-    // DeadlineExceeded, all "not run"; written and unanswered gives Moved for
+    // network, `sent` states whether the request was passed to the socket, which determines
+    // the kind: a request that was never written gives Moved, Overloaded or
+    // DeadlineExceeded, all "not run"; one that was written but not answered gives Moved for
     // reads and for statements of a transaction that the home rolls back with
     // the link, and UnknownOutcome for everything that may have committed.
     void execute(const std::string &peer, const std::string &address, StatementRequest request, ReplyHandler handler);
-    // Gives up on a request: the home is told, and a late answer is dropped. The
-    // handler is answered at once, as if the deadline had passed. The transaction
-    // of the request is rolled back with it, whatever had become of it: a reply
-    // with an error and transaction 0 says that it is over.
+    // Cancels a request: notifies the home and drops a late answer. The handler is called at
+    // once, as if the deadline had passed. The transaction of the request is rolled back in
+    // any case: a reply with an error and transaction 0 reports that it has ended.
     void cancel(const std::string &peer, std::uint64_t requestId);
     // Sends any other message, over an open link if there is one. It may be lost
-    // with the link: whoever needs an answer has to ask again.
+    // with the link: a sender that needs an answer has to repeat it.
     void send(const std::string &peer, const std::string &address, hop::HopMessage message);
-    // Answers on the very link that a message came over.
+    // Sends over the same link that a message was received on.
     void sendOn(const PeerRef &peer, const hop::HopMessage &message);
-    // Sends to every peer with an open link. For rare news; gossip carries the rest.
+    // Sends to every peer with an open link. For rare announcements; gossip carries the rest.
     void sendToAll(const hop::HopMessage &message);
 
-    // Closes all links of a host that is known to be gone: its open transactions
-    // are reported by onLinkLost, and requests to it are answered.
+    // Closes all links of a host that has left or failed: reports its links by onLinkLost and
+    // answers the requests to it.
     void drop(const std::string &host);
 
-    // Requests of both directions that are not answered yet, and bytes that are
-    // not written yet: a stop that cuts nothing waits until both are 0.
+    // Unanswered requests of both directions, and unwritten bytes: a graceful stop waits until
+    // both are 0.
     std::size_t unansweredRequests() const;
     std::size_t unwrittenBytes() const;
     // Open links in both directions.
     std::size_t linkCount() const;
     PeerTraffic traffic() const;
-    // Answers every pending request as if its link had broken, and closes all links.
+    // Answers every pending request as if its link were lost, and closes all links.
     void stop();
 
 private:
--- a/src/runtime/fleet/peernetworkstate.h
+++ b/src/runtime/fleet/peernetworkstate.h
@@ -1,6 +1,6 @@
-// The inside of PeerNetwork, shared by the files that implement it:
-// peernetwork.cpp (both directions, timers), peeroutbound.cpp (hosts that we dial,
-// requests of this host) and peerinbound.cpp (links of peers, requests to us).
+// Implementation class of PeerNetwork, shared by the files that implement it:
+// peernetwork.cpp (both directions, timers), peeroutbound.cpp (dialed hosts and requests of
+// this host) and peerinbound.cpp (accepted links and requests of peers).
 
 #pragma once
 
@@ -29,10 +29,10 @@
 
 using boost::asio::ip::tcp;
 
-// When to come back to a home that is overloaded or not there yet.
+// Retry delay reported for a home that is overloaded or not ready yet.
 constexpr milliseconds overloadedRetry{100};
 
-// A host that we dial.
+// A host that this host dials.
 struct Outbound {
     explicit Outbound(const LinkProbeOptions &probing) : probe(probing)
     {
@@ -40,24 +40,24 @@
 
     std::string host;
     std::string address;
-    // Unset while there is none; closed links are never kept here.
+    // Null while there is no link; never holds a closed link.
     std::shared_ptr<PeerLink> link;
     std::uint64_t linkId = 0;
-    // While set, a connection attempt is under way.
+    // Set while a connection attempt is in progress.
     std::shared_ptr<tcp::socket> dialing;
     TimePoint dialDeadline;
-    // True once the peer's Hello was accepted; nothing but our Hello is sent before.
+    // True once the peer's Hello has been accepted; only this host's Hello is sent before that.
     bool ready = false;
     std::map<std::uint64_t, PendingRequest> pending;
-    // Ids in `pending` that are not sent yet, in order; may hold answered ids.
+    // Ids in `pending` that are not sent yet, in order; may contain ids that are already answered.
     std::deque<std::uint64_t> unsent;
     // Estimated bytes of the unsent requests.
     std::size_t unsentBytes = 0;
-    // Request bytes that may still be sent; goes below 0 by at most one frame.
+    // Request bytes that may still be sent; negative by at most one frame.
     std::int64_t credit = 0;
     std::deque<hop::HopMessage> messages;
     OpenTransactions transactions;
-    // Requests given up whose late answer may still open a transaction.
+    // Abandoned requests whose late answer may still open a transaction.
     absl::flat_hash_map<std::uint64_t, TransactionPlace> abandoned;
     milliseconds backoff{0};
     TimePoint nextAttempt;
@@ -71,7 +71,7 @@
     StatementKind kind = StatementKind::Write;
 };
 
-// A link that a peer dialled.
+// A link that a peer dialed.
 struct Inbound {
     explicit Inbound(const LinkProbeOptions &probing) : probe(probing)
     {
@@ -79,7 +79,7 @@
 
     PeerRef peer;
     std::shared_ptr<PeerLink> link;
-    // Unset until the peer's Hello came.
+    // False until the peer's Hello is received.
     bool ready = false;
     TimePoint acceptedAt;
     absl::flat_hash_map<std::uint64_t, ServedRequest> served;
@@ -90,7 +90,7 @@
 
 } // namespace detail
 
-// Everything behind PeerNetwork. Callbacks hold it weakly.
+// The implementation of PeerNetwork. Callbacks hold weak pointers to it.
 class PeerNetwork::State : public std::enable_shared_from_this<PeerNetwork::State>
 {
     using tcp = boost::asio::ip::tcp;
@@ -139,13 +139,13 @@
     }
 
 private:
-    // Dialling.
+    // Dialing.
     Outbound &outbound(const std::string &peer, const std::string &address);
     void dial(Outbound &to);
     void onConnected(const std::string &host, const std::shared_ptr<tcp::socket> &socket, const boost::system::error_code &error);
     void failDial(Outbound &to, const std::string &reason);
-    void onHelloOf(Outbound &to, const hop::Hello &hello);
-    void raiseBackoff(Outbound &to);
+    void onOutboundHello(Outbound &to, const hop::Hello &hello);
+    void increaseBackoff(Outbound &to);
 
     // Requests of this host.
     void flush(Outbound &to);
@@ -157,11 +157,11 @@
     void onOutboundClosed(const std::string &host, std::uint64_t linkId);
     void failAll(Outbound &to, const std::string &reason);
     void answer(Outbound &to, std::uint64_t id, Error error);
-    void giveUp(Outbound &to, std::uint64_t id);
+    void abandonRequest(Outbound &to, std::uint64_t id);
     void rollBack(Outbound &to, const TransactionPlace &place, std::uint64_t transaction);
     void post(ReplyHandler handler, StatementReply reply);
     bool isSilent(const Outbound &to, TimePoint now) const;
-    void tryAgain(Outbound &to);
+    void redial(Outbound &to);
     std::optional<Error> refusalFor(const Outbound &to, const StatementRequest &request, std::size_t bytes) const;
     void refuse(const StatementRequest &request, ReplyHandler handler, Error error);
 
@@ -184,13 +184,13 @@
     // Timers.
     void scheduleHousekeeping();
     milliseconds housekeepingInterval() const;
-    void keepHouse();
-    void keepOutbound(Outbound &to, TimePoint now);
+    void runHousekeeping();
+    void checkOutbound(Outbound &to, TimePoint now);
     void sendMessage(PeerLink &link, LinkProbe &probe, const hop::HopMessage &message);
     void probe(PeerLink &link, LinkProbe &probe, const std::string &peer, bool working, TimePoint now);
-    void doubtAll(TimePoint now);
+    void markAllUnproven(TimePoint now);
     void closeIdle(Outbound &to);
-    void keepInbound(Inbound &from, TimePoint now);
+    void checkInbound(Inbound &from, TimePoint now);
     Deadlines::iterator armDeadline(TimePoint deadline, const DeadlineKey &key);
     void scheduleDeadlines();
     void onDeadlines();
@@ -204,15 +204,15 @@
     Timer m_deadlineTimer;
     std::mt19937_64 m_random;
     bool m_stopped = false;
-    // True while accepting waits for the next housekeeping, as when the process
-    // is out of descriptors: trying on at once would only burn the thread.
+    // True while accepting is suspended until the next housekeeping, for example when the process
+    // has no free file descriptors: retrying at once would keep the thread busy without effect.
     bool m_acceptFailed = false;
-    TimePoint m_keptHouseAt = Clock::now();
-    TimePoint m_judgesSilenceFrom;
+    TimePoint m_lastHousekeepingAt = Clock::now();
+    TimePoint m_checkSilenceFrom;
     std::uint64_t m_lastLinkId = 0;
     std::uint64_t m_lastRollback = 0;
     std::uint64_t m_lastPing = 0;
-    // unique_ptr: references to an entry stay good while others come and go.
+    // unique_ptr keeps references to an entry valid while others are added and removed.
     std::map<std::string, std::unique_ptr<Outbound>> m_outbound;
     std::map<std::uint64_t, std::unique_ptr<Inbound>> m_inbound;
     std::multimap<std::string, std::uint64_t> m_inboundByHost;
--- a/src/runtime/fleet/peeroutbound.cpp
+++ b/src/runtime/fleet/peeroutbound.cpp
@@ -1,4 +1,4 @@
-// Hosts that we dial, and requests of this host to homes there.
+// Hosts that this host dials, and its requests to homes on them.
 
 #include "runtime/fleet/peernetworkstate.h"
 
@@ -18,13 +18,13 @@
 namespace
 {
 
-// Numbers of rollbacks that the network sends by itself, apart from any front's.
-constexpr std::uint64_t rollbackIds = 1ULL << 63U;
+// Base of the request ids of rollbacks that the network itself sends; distinct from the ids of fronts.
+constexpr std::uint64_t rollbackIdBase = 1ULL << 63U;
 constexpr std::chrono::seconds rollbackTimeout{10};
 
 } // namespace
 
-// --- Dialling ---------------------------------------------------------------
+// --- Dialing ----------------------------------------------------------------
 
 Outbound &PeerNetwork::State::outbound(const std::string &peer, const std::string &address)
 {
@@ -35,8 +35,8 @@
         entry->address = address;
     }
     if (entry->address != address) {
-        // The host came back elsewhere: what is there under the old address can
-        // only be its past or somebody else.
+        // The host restarted at another address. The old address belongs to its previous
+        // instance or to another host.
         failAll(*entry, "the home moved to another address");
         if (entry->link) {
             entry->link->abandon();
@@ -79,7 +79,7 @@
     }
     to.dialing.reset();
     to.linkId = ++m_lastLinkId;
-    // Answers are always read: pausing here could leave both ends waiting.
+    // Answers are always read: pausing here could deadlock both ends.
     to.link = std::make_shared<PeerLink>(std::move(*socket), 0);
     PeerLinkHooks hooks;
     hooks.onMessage = [weak = weak_from_this(), host, id = to.linkId](hop::HopMessage message, std::size_t bytes) {
@@ -109,7 +109,7 @@
         to.dialing.reset();
     }
     to.messages.clear();
-    raiseBackoff(to);
+    increaseBackoff(to);
     failAll(to, reason);
     if (m_hooks.onUnreachable) {
         boost::asio::post(m_context, [weak = weak_from_this(), host = to.host] {
@@ -121,19 +121,19 @@
     }
 }
 
-// Jittered, so that a fleet which lost a host does not dial it in step.
-void PeerNetwork::State::raiseBackoff(Outbound &to)
+// Jittered, so that the hosts do not dial a lost host at the same time.
+void PeerNetwork::State::increaseBackoff(Outbound &to)
 {
-    const milliseconds raised = std::max(m_options.firstBackoff, to.backoff * 2);
-    to.backoff = std::min(raised, m_options.longestBackoff);
+    const milliseconds increased = std::max(m_options.firstBackoff, to.backoff * 2);
+    to.backoff = std::min(increased, m_options.longestBackoff);
     std::uniform_int_distribution<std::int64_t> jitter(to.backoff.count() / 2, to.backoff.count());
     to.nextAttempt = Clock::now() + milliseconds{jitter(m_random)};
 }
 
-void PeerNetwork::State::onHelloOf(Outbound &to, const hop::Hello &hello)
+void PeerNetwork::State::onOutboundHello(Outbound &to, const hop::Hello &hello)
 {
-    // Somebody else at this address means that the host was replaced: a request
-    // must not reach a home that was not chosen.
+    // Another host at this address means that the expected host was replaced: a request must
+    // not reach a home that was not selected.
     if (hello.version != hop::protocolVersion || hello.host != to.host) {
         to.link->close();
         return;
@@ -143,7 +143,7 @@
     for (const hop::HopMessage &message : std::exchange(to.messages, {})) {
         sendMessage(*to.link, to.probe, message);
     }
-    to.link->wake();
+    to.link->scheduleFill();
 }
 
 // --- Requests of this host --------------------------------------------------
@@ -159,7 +159,7 @@
     Outbound &to = outbound(peer, address);
     const std::size_t bytes = estimatedBytes(request);
     if (to.backoff > milliseconds{0}) {
-        tryAgain(to);
+        redial(to);
     }
     if (auto error = refusalFor(to, request, bytes)) {
         refuse(request, std::move(handler), std::move(*error));
@@ -174,9 +174,9 @@
     flush(to);
 }
 
-// What goes wrong without it: requests queue up behind a connection attempt to a host that
-// has just been lost, or on a link that nothing comes from any more, and are refused only
-// when their time is up. Told at once, a read goes to another upstream.
+// Without this check, requests wait behind a connection attempt to a host that has just been
+// lost, or on a silent link, and fail only at their deadlines. Refused at once, a read is sent
+// to another upstream.
 bool PeerNetwork::State::isSilent(const Outbound &to, TimePoint now) const
 {
     if (to.link) {
@@ -185,33 +185,33 @@
     return to.dialing ? to.backoff > milliseconds{0} : now < to.nextAttempt;
 }
 
-// Dials a host that was lost, so that the next request finds it back.
-void PeerNetwork::State::tryAgain(Outbound &to)
+// Dials a lost host, so that the next request finds it reachable again.
+void PeerNetwork::State::redial(Outbound &to)
 {
     if (!to.link && !to.dialing && Clock::now() >= to.nextAttempt) {
         dial(to);
     }
 }
 
-// Why a request cannot even be queued; nothing of it has left then.
+// Returns the reason why a request cannot be queued; nothing of it has been sent then.
 std::optional<Error> PeerNetwork::State::refusalFor(const Outbound &to, const StatementRequest &request, std::size_t bytes) const
 {
     const TimePoint now = Clock::now();
-    // A statement of an open transaction can go nowhere else, so it takes its chance.
-    const bool mayGoElsewhere = request.transaction == 0 || !to.link;
-    if (mayGoElsewhere && isSilent(to, now)) {
+    // A statement of an open transaction cannot run elsewhere, so it is tried anyway.
+    const bool canRunElsewhere = request.transaction == 0 || !to.link;
+    if (canRunElsewhere && isSilent(to, now)) {
         const auto wait = std::chrono::ceil<milliseconds>(std::max(to.nextAttempt, now + m_options.firstBackoff) - now);
         return Error{ErrorKind::Moved, "The home " + to.host + " cannot be reached right now; send the request again.", wait};
     }
     if (bytes > hop::maxFrameBytes) {
-        return Error{ErrorKind::Unsupported, "The request is too large to be passed on; split it.", milliseconds{0}};
+        return Error{ErrorKind::Unsupported, "The request is too large to be forwarded; split it.", milliseconds{0}};
     }
     if (to.unsentBytes + bytes > m_options.queueBytes) {
         return Error{ErrorKind::Overloaded, "The link to home " + to.host + " is full; send the request again later.",
                      overloadedRetry};
     }
     if (to.pending.contains(request.id)) {
-        return Error{ErrorKind::InvalidInput, "Two requests of this front have one id; number them uniquely.", milliseconds{0}};
+        return Error{ErrorKind::InvalidInput, "Two requests of this front have the same id; use unique ids.", milliseconds{0}};
     }
     return std::nullopt;
 }
@@ -220,14 +220,14 @@
 {
     const auto found = m_outbound.find(peer);
     if (found != m_outbound.end()) {
-        giveUp(*found->second, requestId);
+        abandonRequest(*found->second, requestId);
     }
 }
 
 void PeerNetwork::State::flush(Outbound &to)
 {
     if (to.link) {
-        to.link->wake();
+        to.link->scheduleFill();
         return;
     }
     if (!to.dialing) {
@@ -260,12 +260,12 @@
     pending.request = std::move(std::get<hop::ExecuteRequest>(message).request);
     to.unsentBytes -= pending.queuedBytes;
     if (frame.size() > hop::maxFrameBytes) {
-        answer(to, id, Error{ErrorKind::Unsupported, "The request is too large to be passed on; split it.", milliseconds{0}});
+        answer(to, id, Error{ErrorKind::Unsupported, "The request is too large to be forwarded; split it.", milliseconds{0}});
         return;
     }
     pending.sent = true;
     to.credit -= static_cast<std::int64_t>(frame.size());
-    // Only the rules of outcome are needed from here on.
+    // From here on, only the fields that determine the outcome are needed.
     std::string().swap(pending.request.batch);
     pending.request.prepared.clear();
     buffer += frame;
@@ -281,7 +281,7 @@
     Outbound &to = *found->second;
     countReceived(message, bytes);
     if (const auto *hello = std::get_if<hop::Hello>(&message)) {
-        onHelloOf(to, *hello);
+        onOutboundHello(to, *hello);
     } else if (!to.ready || std::holds_alternative<hop::ExecuteRequest>(message)) {
         to.link->close();
     } else if (auto *reply = std::get_if<hop::ExecuteReply>(&message)) {
@@ -289,7 +289,7 @@
     } else if (const auto *credit = std::get_if<hop::Credit>(&message)) {
         to.credit +=
             static_cast<std::int64_t>(std::min<std::uint64_t>(credit->bytes, m_options.windowBytes + hop::maxFrameBytes));
-        to.link->wake();
+        to.link->scheduleFill();
     } else if (const auto *ping = std::get_if<hop::Ping>(&message)) {
         if (!ping->answer) {
             writeMessage(*to.link, hop::Ping{ping->number, true});
@@ -313,10 +313,8 @@
     post(std::move(handler), std::move(reply));
 }
 
-// Symptom: a transaction stays open at the home and holds its connection.
-// Sequence: the front gives up on a BEGIN; its answer arrives afterwards with
-// the number of a transaction that nobody will ever use.
-// The home is therefore told to roll it back.
+// When the front abandons a BEGIN and its answer arrives later, no caller uses the transaction
+// it opened. Without a rollback, the transaction stays open at the home and holds its connection.
 void PeerNetwork::State::onLateReply(Outbound &to, const StatementReply &reply)
 {
     const auto found = to.abandoned.find(reply.id);
@@ -373,10 +371,10 @@
     post(std::move(handler), std::move(reply));
 }
 
-// Answers a request whose deadline passed or whose caller left. Part of an open
-// transaction may be running at the home; to make "not run" true, the home is
-// told on the same link to roll that transaction back, ahead of any COMMIT.
-void PeerNetwork::State::giveUp(Outbound &to, std::uint64_t id)
+// Answers a request whose deadline passed or whose caller disconnected. Part of an open
+// transaction may be running at the home. To make "not run" true, a rollback of that transaction
+// is sent on the same link, ahead of any COMMIT.
+void PeerNetwork::State::abandonRequest(Outbound &to, std::uint64_t id)
 {
     const auto found = to.pending.find(id);
     if (found == to.pending.end()) {
@@ -397,11 +395,11 @@
     answer(to, id, deadlineError(pending));
 }
 
-// Nobody waits for the answer; it is dropped when it comes.
+// No caller waits for the answer; it is dropped when it arrives.
 void PeerNetwork::State::rollBack(Outbound &to, const TransactionPlace &place, std::uint64_t transaction)
 {
     StatementRequest request;
-    request.id = rollbackIds | ++m_lastRollback;
+    request.id = rollbackIdBase | ++m_lastRollback;
     request.database = place.database;
     request.upstream = place.upstream;
     request.kind = StatementKind::Rollback;
@@ -414,7 +412,7 @@
     to.transactions.onFrontGone(transaction);
 }
 
-// Handlers run from the event loop, never from within a call of their owner.
+// Handlers run in the event loop, never from within a call of their owner.
 void PeerNetwork::State::post(ReplyHandler handler, StatementReply reply)
 {
     boost::asio::post(m_context,
@@ -431,7 +429,7 @@
 
 // --- Silence ----------------------------------------------------------------
 
-void PeerNetwork::State::keepOutbound(Outbound &to, TimePoint now)
+void PeerNetwork::State::checkOutbound(Outbound &to, TimePoint now)
 {
     if (to.dialing) {
         if (now >= to.dialDeadline) {
@@ -442,7 +440,7 @@
     if (!to.link || !to.link->isOpen()) {
         return;
     }
-    // The home counts a request until it has answered, given up here or not.
+    // The home counts a request until it has answered, even when this host has abandoned it.
     const bool working = !to.pending.empty() || !to.transactions.empty() || !to.abandoned.empty();
     if (!to.ready) {
         if (now >= to.dialDeadline) {
@@ -455,7 +453,7 @@
     }
 }
 
-// Not a failure: nothing is lost, nobody is told, and the next request dials again.
+// Not a failure: nothing is lost or reported, and the next request dials again.
 void PeerNetwork::State::closeIdle(Outbound &to)
 {
     to.link->abandon();
--- a/src/runtime/fleet/peerrequest.cpp
+++ b/src/runtime/fleet/peerrequest.cpp
@@ -1,4 +1,4 @@
-// The rules of outcome.
+// The rules for the outcome of unanswered requests.
 
 #include "runtime/fleet/peerrequest.h"
 
@@ -12,8 +12,8 @@
 namespace
 {
 
-// True when a simple query goes on after a semicolon; one within a string counts
-// too, which errs on the safe side.
+// True when a simple query continues after a semicolon. A semicolon within a string literal
+// counts too, which errs on the safe side.
 bool isTextOfSeveral(const std::string &batch)
 {
     const std::size_t semicolon = batch.find(';');
@@ -39,7 +39,7 @@
 {
     if (admitsUnknown && pending.sent && pending.mayHaveCommitted) {
         return Error{ErrorKind::UnknownOutcome,
-                     "The request had left for another host when " + reason
+                     "The request had been sent to another host when " + reason
                          + "; it may have run. Check its effect before sending it again.",
                      milliseconds{0}};
     }
--- a/src/runtime/fleet/peerrequest.h
+++ b/src/runtime/fleet/peerrequest.h
@@ -1,5 +1,5 @@
-// A request on its way to a home on another host, and what its front may conclude
-// when no answer comes.
+// A request sent to a home on another host, and the outcome that its front may report when
+// no answer comes.
 
 #pragma once
 
@@ -15,14 +15,14 @@
 namespace egrettide::detail
 {
 
-// Added to the size of a batch for what surrounds it in a frame.
+// Estimated frame size in addition to the size of a batch.
 constexpr std::size_t requestOverheadBytes = 512;
 
-// What a frame of the request will take, before it is encoded.
+// Estimated size of the frame of a request that is not encoded yet.
 std::size_t estimatedBytes(const StatementRequest &request);
 
-// Transactions that are open at the home over one link, as both ends can tell
-// from the answers that went over it.
+// Transactions that are open at the home over one link. Both ends of the link derive the
+// same set from the answers sent over it.
 class OpenTransactions
 {
 public:
@@ -54,7 +54,7 @@
     absl::flat_hash_set<std::uint64_t> m_open;
 };
 
-// Names a request across peers, in the order of deadlines.
+// The peer and the id of a request; identifies it among all peers.
 using DeadlineKey = std::pair<std::string, std::uint64_t>;
 using Deadlines = std::multimap<TimePoint, DeadlineKey>;
 
@@ -62,26 +62,26 @@
 struct PendingRequest {
     StatementRequest request;
     ReplyHandler handler;
-    // Invariant: true from the moment at which its frame was handed to the socket.
+    // Invariant: true from the moment its frame is passed to the socket.
     bool sent = false;
-    // Kept apart, since the batch is dropped once it is sent.
+    // Stored separately, since the batch is released once it is sent.
     bool mayHaveCommitted = false;
     std::size_t queuedBytes = 0;
-    // Its entry among the deadlines, which goes when the request goes.
+    // Its entry among the deadlines, which is removed together with the request.
     Deadlines::iterator deadline;
 };
 
-// Where a transaction lives that nobody here will use.
+// Database and upstream of a transaction that no caller of this host will use.
 struct TransactionPlace {
     std::string database;
     std::string upstream;
 };
 
-// The answer to a request whose link broke or was never opened. `admitsUnknown`
-// off is for tests alone.
+// The answer to a request whose link was lost or never opened. `admitsUnknown` is false
+// only in tests.
 Error lostError(const PendingRequest &pending, const std::string &reason, milliseconds retryAfter, bool admitsUnknown);
 
-// The answer to a request that was given up, at its deadline or by its caller.
+// The answer to a request that ended at its deadline or was cancelled by its caller.
 Error deadlineError(const PendingRequest &pending);
 
 } // namespace egrettide::detail
--- a/src/runtime/fleet/quotadesk.cpp
+++ b/src/runtime/fleet/quotadesk.cpp
@@ -1,4 +1,4 @@
-// Asks keepers, again where an answer does not come.
+// Sends requests to quota keepers and repeats unanswered ones.
 
 #include "runtime/fleet/quotadesk.h"
 
@@ -14,18 +14,19 @@
 namespace
 {
 
-// A keeper answers within a few milliseconds; a link that is being dialled, or a host that
-// waits for its share of the processor, within a tenth of a second.
-constexpr milliseconds answerPatience{100};
-// Views that do not agree who the keeper is do so soon.
-constexpr milliseconds disagreementPause{50};
-// When to come back if no keeper answers: by then a dead one has been replaced.
+// A keeper answers within a few milliseconds; within 100 ms when its link is being dialed or
+// its host waits for processor time.
+constexpr milliseconds answerTimeout{100};
+// Retry delay while the hosts disagree on the keeper; their views converge soon.
+constexpr milliseconds disagreementRetry{50};
+// Retry delay reported when no keeper answers; by then a failed keeper has been replaced.
 constexpr milliseconds noKeeperRetry{500};
 
-Error beyondQuota(const std::string &workspace, milliseconds retryAfter)
+Error quotaExceeded(const std::string &workspace, milliseconds retryAfter)
 {
     return Error{ErrorKind::QuotaExceeded,
-                 absl::StrCat("Not run: workspace ", workspace, " has used up its quota; ask less often."), retryAfter};
+                 absl::StrCat("Not run: workspace ", workspace, " has exceeded its quota; send requests less often."),
+                 retryAfter};
 }
 
 Error noKeeper(const std::string &workspace)
@@ -68,26 +69,26 @@
         if (!m_keeper.isLimited(workspace)) {
             outcomes.push_back({std::move(handler), {}});
         } else if (const auto after = m_backoff.refusesHere(workspace, now)) {
-            outcomes.push_back({std::move(handler), tl::unexpected(beyondQuota(workspace, *after))});
+            outcomes.push_back({std::move(handler), tl::unexpected(quotaExceeded(workspace, *after))});
         } else {
             const std::uint64_t id = ++m_lastId;
             const auto place = m_waiting.emplace(id, Waiting{workspace, until, TimePoint::max(), std::move(handler)}).first;
-            ask(id, place->second, now, outcomes);
+            askKeeper(id, place->second, now, outcomes);
             armTimer();
         }
     }
-    tell(std::move(outcomes));
+    complete(std::move(outcomes));
 }
 
-void QuotaDesk::ask(std::uint64_t id, Waiting &waiting, TimePoint now, std::vector<Outcome> &outcomes)
+void QuotaDesk::askKeeper(std::uint64_t id, Waiting &waiting, TimePoint now, std::vector<Outcome> &outcomes)
 {
     const std::string keeper = m_hooks.keeperOf(quotaSlotOf(waiting.workspace));
     if (keeper == m_self) {
-        take(id, m_keeper.ask(waiting.workspace, now), now, outcomes);
+        applyVerdict(id, m_keeper.ask(waiting.workspace, now), now, outcomes);
         return;
     }
-    waiting.nextAt = now + (keeper.empty() ? disagreementPause : answerPatience);
-    // Asked also where the answer is not waited for: it tells when the silence is over.
+    waiting.nextAt = now + (keeper.empty() ? disagreementRetry : answerTimeout);
+    // Sent also when the request does not wait for the answer: an answer ends the grace period.
     if (!keeper.empty()) {
         m_hooks.send(keeper, hop::QuotaAsk{id, waiting.workspace});
     }
@@ -97,8 +98,8 @@
     }
 }
 
-// Forgets the request where its fate is known.
-void QuotaDesk::take(std::uint64_t id, const QuotaVerdict &verdict, TimePoint now, std::vector<Outcome> &outcomes)
+// Applies a verdict of a keeper; removes the request when its outcome is final.
+void QuotaDesk::applyVerdict(std::uint64_t id, const QuotaVerdict &verdict, TimePoint now, std::vector<Outcome> &outcomes)
 {
     const auto found = m_waiting.find(id);
     if (found == m_waiting.end()) {
@@ -111,11 +112,11 @@
     }
     switch (verdict.kind) {
     case QuotaVerdict::Kind::NotKeeper:
-        waiting.nextAt = now + disagreementPause;
+        waiting.nextAt = now + disagreementRetry;
         return;
     case QuotaVerdict::Kind::Refused:
         m_backoff.refused(waiting.workspace, verdict.after, now);
-        outcomes.push_back({std::move(waiting.handler), tl::unexpected(beyondQuota(waiting.workspace, verdict.after))});
+        outcomes.push_back({std::move(waiting.handler), tl::unexpected(quotaExceeded(waiting.workspace, verdict.after))});
         break;
     case QuotaVerdict::Kind::Granted:
         if (verdict.after > milliseconds{0}) {
@@ -140,14 +141,14 @@
     std::vector<Outcome> outcomes;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        take(reply.id, reply.verdict, Clock::now(), outcomes);
+        applyVerdict(reply.id, reply.verdict, Clock::now(), outcomes);
         armTimer();
     }
-    tell(std::move(outcomes));
+    complete(std::move(outcomes));
 }
 
-// One timer for all that wait, and none while nobody does. One that is set too early costs a
-// look; setting it anew for each request would cost more.
+// One timer serves all waiting requests; it is not set while none waits. A timer that fires too
+// early costs one check, which is cheaper than setting it again for each request.
 void QuotaDesk::armTimer()
 {
     TimePoint next = TimePoint::max();
@@ -185,11 +186,11 @@
             Waiting &waiting = m_waiting.at(id);
             if (!waiting.granted && now < waiting.until) {
                 m_grace.unanswered(waiting.workspace, now);
-                ask(id, waiting, now, outcomes);
+                askKeeper(id, waiting, now, outcomes);
                 continue;
             }
             if (waiting.granted) {
-                // Empty where the request has started already, without an answer.
+                // Empty when the request has already started without an answer.
                 if (waiting.handler) {
                     outcomes.push_back({std::move(waiting.handler), {}});
                 }
@@ -200,10 +201,10 @@
         }
         armTimer();
     }
-    tell(std::move(outcomes));
+    complete(std::move(outcomes));
 }
 
-void QuotaDesk::tell(std::vector<Outcome> outcomes)
+void QuotaDesk::complete(std::vector<Outcome> outcomes)
 {
     for (Outcome &outcome : outcomes) {
         outcome.handler(std::move(outcome.result));
--- a/src/runtime/fleet/quotadesk.h
+++ b/src/runtime/fleet/quotadesk.h
@@ -1,5 +1,5 @@
-// Has requests counted against the quota of their workspace before they start: by this host
-// when it is the keeper, else by the host that is. See QuotaKeeper.
+// Counts requests against the quota of their workspace before they start: on this host when
+// it is the quota keeper of the workspace, otherwise by a call to the keeper. See QuotaKeeper.
 
 #pragma once
 
@@ -24,19 +24,19 @@
 {
 
 struct QuotaDeskHooks {
-    // The host that keeps a slot; empty when none is known. Called on any thread.
+    // Returns the keeper of a slot; empty when none is known. Called on any thread.
     std::function<std::string(std::size_t slot)> keeperOf;
-    // Sends to another host; may be lost. Called on any thread.
+    // Sends a message to another host; it may be lost. Called on any thread.
     std::function<void(const std::string &host, hop::HopMessage message)> send;
 };
 
-// Thread-safe, but for the constructor and destructor. `link` has to outlive it and to be
-// stopped before it is destroyed.
+// Thread-safe except for the constructor and destructor. `link` must outlive this object and
+// be stopped before its destruction.
 class QuotaDesk
 {
 public:
-    // Gets nothing when the request may start. QuotaExceeded when the workspace is beyond its
-    // quota, Overloaded when nobody could be asked in time; nothing has run in both cases.
+    // Receives no error when the request may start, QuotaExceeded when the workspace has exceeded
+    // its quota, and Overloaded when no keeper answered in time. On an error nothing has run.
     using AdmitHandler = std::function<void(tl::expected<void, Error>)>;
 
     QuotaDesk(boost::asio::io_context &link, std::string self, QuotaKeeperOptions options, QuotaDeskHooks hooks);
@@ -44,14 +44,14 @@
     QuotaDesk &operator=(const QuotaDesk &) = delete;
 
     void configure(const Configuration &configuration);
-    // Which slots this host keeps; see QuotaKeeper::keep.
+    // Sets the slots that this host keeps; see QuotaKeeper::keep.
     void keep(const std::bitset<quotaSlots> &slots, double part);
 
-    // Counts one request. `handler` is called once, from within the call where the answer
-    // is known here, at the latest shortly after `until`.
+    // Counts one request. `handler` is called once: from within this call when the answer is
+    // known locally, otherwise later, at the latest shortly after `until`.
     void admit(const std::string &workspace, TimePoint until, AdmitHandler handler);
 
-    // Messages of other hosts.
+    // Messages from other hosts.
     hop::QuotaReply onAsk(const hop::QuotaAsk &ask);
     void onReply(const hop::QuotaReply &reply);
 
@@ -59,24 +59,24 @@
     struct Waiting {
         std::string workspace;
         TimePoint until;
-        // When the keeper is asked again, or the request starts once it is granted.
+        // When the keeper is asked again or, once granted, when the request starts.
         TimePoint nextAt;
         AdmitHandler handler;
         bool granted = false;
     };
-    // What is left to be done once the lock is released.
+    // A handler to be called once the lock is released.
     struct Outcome {
         AdmitHandler handler;
         tl::expected<void, Error> result;
     };
 
     // Called with the lock held.
-    void ask(std::uint64_t id, Waiting &waiting, TimePoint now, std::vector<Outcome> &outcomes);
-    void take(std::uint64_t id, const QuotaVerdict &verdict, TimePoint now, std::vector<Outcome> &outcomes);
+    void askKeeper(std::uint64_t id, Waiting &waiting, TimePoint now, std::vector<Outcome> &outcomes);
+    void applyVerdict(std::uint64_t id, const QuotaVerdict &verdict, TimePoint now, std::vector<Outcome> &outcomes);
     void armTimer();
 
     void onTimer();
-    static void tell(std::vector<Outcome> outcomes);
+    static void complete(std::vector<Outcome> outcomes);
 
     const std::string m_self;
     const QuotaDeskHooks m_hooks;
--- a/src/runtime/host/address.cpp
+++ b/src/runtime/host/address.cpp
@@ -1,4 +1,4 @@
-// Reads "IP:port" texts.
+// Parses "IP:port" addresses.
 
 #include "runtime/host/address.h"
 
@@ -11,7 +11,7 @@
 {
     const auto refuse = [&address] {
         return tl::unexpected(Error{ErrorKind::InvalidInput,
-                                    "\"" + address + "\" is no address; write it as IP:port, such as 10.0.0.1:5432.",
+                                    "\"" + address + "\" is not a valid address; write it as IP:port, such as 10.0.0.1:5432.",
                                     milliseconds{0}});
     };
     const std::size_t colon = address.rfind(':');
--- a/src/runtime/host/address.h
+++ b/src/runtime/host/address.h
@@ -1,4 +1,4 @@
-// "IP:port" texts and what Asio makes of them.
+// Parsing of "IP:port" addresses into Asio endpoints.
 
 #pragma once
 
@@ -12,8 +12,8 @@
 namespace egrettide
 {
 
-// Reads "IP:port". Names are not looked up: hosts talk by IP numbers, so that a
-// name service that is down cannot stop them.
+// Parses "IP:port". Host names are not resolved: hosts connect by IP address, so that they do
+// not depend on a name service.
 tl::expected<boost::asio::ip::tcp::endpoint, Error> parseEndpoint(const std::string &address);
 
 } // namespace egrettide
--- a/src/runtime/host/hostdaemon.cpp
+++ b/src/runtime/host/hostdaemon.cpp
@@ -1,4 +1,4 @@
-// Puts the parts of one entry host together and starts them.
+// Constructs and starts the parts of a host.
 
 #include "runtime/host/hostdaemonimpl.h"
 
@@ -10,22 +10,22 @@
 namespace
 {
 
-// An order to promote is carried out some hundred milliseconds after it was taken, a
-// second at most; twice that is left before another attempt.
+// An accepted promotion order takes some hundred milliseconds, and one second at most. This
+// leaves more than twice that time before the next attempt.
 constexpr milliseconds orderedPromotionTimeout{2500};
-// The spacing of hurried rounds where a status call takes a slot. After a lost connection
-// rounds are hurried for 2 s: every 2 ms they were 1,000 calls to each member, over
-// 16,000 in a minute with one dark primary; a waiting read waits 20 ms more at most.
+// The interval of urgent rounds where a status call takes a slot. Rounds are urgent for 2 s
+// after a lost connection: at an interval of 2 ms that is 1,000 calls to each member, and over
+// 16,000 in a minute with one unreachable primary. This one delays a waiting read by at most 20 ms.
 constexpr milliseconds slotBoundInterval{20};
-// Between two lines of totals: a process that is killed loses this much of its account.
+// The interval between two log lines of totals; a killed process loses the totals of at most this time.
 constexpr std::chrono::seconds recordSpacing{10};
-// Upstreams that drop a vanished host's connections after this long.
+// The time after which upstreams close the connections of a host that has disappeared.
 constexpr milliseconds upstreamLinger{3000};
 
-// Shares of connections where upstreams themselves drop what a lost home leaves behind.
-// Halves for both states: two homes at once fit, so a new one need not wait. With a
-// quarter for the first 5 s, one transaction at a time ran after a restart: of the requests
-// of a day with restarts 0.884 were served in time, with halves 0.937 (one run each).
+// Connection shares for upstreams that close the connections of a lost home themselves.
+// Both shares are one half, so that two homes fit at once and a new one need not wait. With a
+// quarter for the first 5 s, only one transaction ran at a time after a restart: during a day
+// with restarts 0.884 of the requests were served in time, with halves 0.937 (one run each).
 ConnectionBudgetOptions lingeringBudget()
 {
     ConnectionBudgetOptions budget;
@@ -36,8 +36,8 @@
     return budget;
 }
 
-// Half of the link: statements and heartbeats have to find room beside a large
-// configuration. With all of it, hosts on links of 2 Mbit/s took each other for dead.
+// Half of the link: statements and heartbeats need bandwidth beside a large configuration.
+// With the whole link, hosts on links of 2 Mbit/s considered each other dead.
 std::uint64_t bulkBytesPerSecond(double linkMbps)
 {
     constexpr double bytesPerMegabit = 1e6 / 8;
@@ -137,10 +137,10 @@
             [this] { return otherHosts(); }});
     HomeServiceHooks hooks;
     hooks.observer = m_coordination->observerHooks();
-    hooks.observer.announce = [this, tellOthers = hooks.observer.announce](const std::string &database, Term term,
-                                                                           const std::string &primary) {
-        tellOthers(database, term, primary);
-        learnPrimary(database, term, primary);
+    hooks.observer.announce = [this, announceToOthers = hooks.observer.announce](const std::string &database, Term term,
+                                                                                 const std::string &primary) {
+        announceToOthers(database, term, primary);
+        applyPrimary(database, term, primary);
     };
     hooks.handedBack = [this](const std::string &database, const std::string &upstream, const HandBack &handBack) {
         const std::string successor = homeOf(database, upstream);
@@ -149,7 +149,7 @@
         }
     };
     HomeServiceSettings settings;
-    // A restarted host must not pass for the one whose promises it finds.
+    // A restarted host must not be mistaken for the previous instance whose promises it reads.
     settings.observer.incarnation = m_settings.host + "/" + std::to_string(m_incarnation);
     settings.observer.upstreamUser = m_settings.upstreamUser;
     settings.observer.seed = m_random();
@@ -304,11 +304,11 @@
             },
             [this](const std::shared_ptr<const MembershipView> &view) { onView(view); },
             [this](const HostReach &reach) { m_partition->onReach(reach); },
-            [this](const std::string &host, const CatalogVersion &version) { m_keeper->heardOf(host, version); },
+            [this](const std::string &host, const CatalogVersion &version) { m_configurationSource->heardOf(host, version); },
             [this] { return isWatcher(); }});
     ReaderDutyOptions reader;
     m_mechanisms.applyTo(reader);
-    m_keeper = m_parts.makeConfiguration(
+    m_configurationSource = m_parts.makeConfiguration(
         m_control, *m_store,
         ConfigurationKeeperHooks{[this](const std::shared_ptr<const Configuration> &) { onConfiguration(); },
                                  [this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); },
@@ -324,9 +324,9 @@
 {
     asio::post(m_control, [this] {
         m_membership->start();
-        m_keeper->start();
+        m_configurationSource->start();
         joinWhenDue();
-        logRecordAgain();
+        scheduleRecordLog();
     });
     m_threads.emplace_back([this] { m_control.run(); });
     m_threads.emplace_back([this] { m_link.run(); });
@@ -335,13 +335,13 @@
     }
 }
 
-void HostDaemon::Impl::logRecordAgain()
+void HostDaemon::Impl::scheduleRecordLog()
 {
     m_recordTimer->expires_after(recordSpacing);
     m_recordTimer->async_wait([this](const boost::system::error_code &cancelled) {
         if (!cancelled) {
             m_record.log("running");
-            logRecordAgain();
+            scheduleRecordLog();
         }
     });
 }
@@ -360,7 +360,7 @@
     });
 }
 
-// The public face.
+// Public interface.
 
 HostDaemon::HostDaemon(Settings settings, HostParts parts) : m_impl(std::make_unique<Impl>(std::move(settings), std::move(parts)))
 {
--- a/src/runtime/host/hostdaemon.h
+++ b/src/runtime/host/hostdaemon.h
@@ -1,6 +1,6 @@
-// One entry host: front of its callers, home of some upstreams, observer and
-// promoter of their groups, member among the hosts. This part only connects the
-// others; see docs/design/architecture.md for who decides what.
+// One host: front of its callers, home of some upstreams, observer and promoter of their
+// groups, and member of the fleet. This class only connects these parts; see
+// docs/design/architecture.md for their responsibilities.
 
 #pragma once
 
@@ -15,13 +15,13 @@
 namespace egrettide
 {
 
-// The addresses that a started host really listens on ("IP:port"), which matter
-// where the settings asked for port 0.
+// The addresses that a started host listens on ("IP:port"). They differ from the settings
+// where these contain port 0.
 struct HostAddresses {
     std::string caller;
     std::string peer;
     std::string operators;
-    // Empty without a listener of its own for readiness.
+    // Empty when there is no separate readiness listener.
     std::string ready;
 };
 
@@ -33,21 +33,21 @@
     HostDaemon(const HostDaemon &) = delete;
     HostDaemon &operator=(const HostDaemon &) = delete;
 
-    // Listens and starts all threads. On an error (an address in use) nothing runs.
+    // Starts the listeners and all threads. On an error (such as an address in use) nothing runs.
     tl::expected<HostAddresses, Error> start();
 
-    // Graceful stop, from any thread: takes nothing new, lets what is in progress
-    // finish, tells the other hosts. Repeated calls change nothing.
+    // Begins a graceful stop, from any thread: accepts no new work, lets work in progress finish
+    // and announces the departure to the other hosts. Repeated calls have no effect.
     void beginStop();
 
-    // Takes over changed settings, from any thread; what needs a restart is logged and
-    // left as it is.
+    // Applies changed settings, from any thread. Changes that need a restart are logged and not
+    // applied.
     void reload(const Settings &settings);
 
-    // Stops at once, from any thread: requests in progress are cut.
+    // Stops at once, from any thread; requests in progress are aborted.
     void stopNow();
 
-    // Blocks until a stop is complete, then joins all threads.
+    // Blocks until a stop has completed, then joins all threads.
     void wait();
 
 private:
--- a/src/runtime/host/hostdaemonimpl.h
+++ b/src/runtime/host/hostdaemonimpl.h
@@ -1,7 +1,7 @@
-// The inside of a HostDaemon, shared by the files that divide its work: construction
-// (hostdaemon.cpp), requests and messages (hostrouting.cpp), what it knows of others and
-// of the configuration (hostview.cpp), operators and changed settings
-// (hostoperations.cpp), stopping (hoststop.cpp).
+// Implementation class of HostDaemon, shared by the files that implement it: construction
+// (hostdaemon.cpp), requests and messages (hostrouting.cpp), configuration and membership
+// (hostview.cpp), operators and changed settings (hostoperations.cpp), stopping
+// (hoststop.cpp).
 
 #pragma once
 
@@ -54,11 +54,11 @@
 
 using WorkGuard = boost::asio::executor_work_guard<boost::asio::io_context::executor_type>;
 
-// The front key of this host's own callers.
+// The front key for the callers of this host itself.
 constexpr std::string_view localFrontKey = "local";
 
-// Where every upstream's home is, under one view and one configuration. Threads
-// that route read it without a lock.
+// The homes of all upstreams for one membership view and one configuration. Immutable; threads
+// that route requests read it without a lock.
 struct Routes {
     std::shared_ptr<const Configuration> configuration;
     std::shared_ptr<const MembershipView> view;
@@ -71,7 +71,7 @@
     }
 };
 
-// Names a link as a front, for the homes of this host.
+// The key that identifies a link as a front to the homes of this host.
 std::string frontKeyOf(const PeerRef &peer);
 
 std::unique_ptr<const Placement> placementFor(const Configuration *configuration, const MembershipView &view);
@@ -109,17 +109,17 @@
     // Routing of requests, from any thread.
     void execute(StatementRequest request, ReplyHandler handler);
     std::optional<std::string> homeOfTransaction(std::uint64_t transaction);
-    ReplyHandler followingTransaction(const StatementRequest &request, const std::string &home, ReplyHandler handler);
+    ReplyHandler trackTransaction(const StatementRequest &request, const std::string &home, ReplyHandler handler);
     void executeAt(const std::string &home, const std::string &address, StatementRequest request, ReplyHandler handler);
     void cancel(std::uint64_t requestId);
 
-    // Messages of other hosts; on the link thread.
+    // Messages from other hosts; on the link thread.
     void onPeerRequest(const PeerRef &from, StatementRequest request, ReplyHandler reply);
     void onPeerMessage(const PeerRef &from, hop::HopMessage message);
     // On the control thread.
     void onControlMessage(const PeerRef &from, const hop::HopMessage &message);
     void answerOpinion(const PeerRef &from, const hop::Opinion &question);
-    void learnPrimary(const std::string &database, Term term, const std::string &primary);
+    void applyPrimary(const std::string &database, Term term, const std::string &primary);
 
     void send(const std::string &host, hop::HopMessage message);
     void sendTo(const std::string &host, const std::string &address, hop::HopMessage message);
@@ -129,20 +129,21 @@
     void onConfiguration();
     void onView(const std::shared_ptr<const MembershipView> &view);
     void rebuildRoutes();
-    void keepQuotas();
+    void updateKeptQuotas();
     void joinWhenDue();
-    void logRecordAgain();
+    void scheduleRecordLog();
     bool isWatcher() const;
     ZoneHosts zoneHosts() const;
     std::vector<std::string> otherHosts() const;
     std::vector<std::string> someHosts(std::size_t count);
     std::vector<std::string> otherHomes(const std::string &database) const;
-    // The host that is home of the upstream; empty when there is none.
+    // Returns the home of the upstream; empty when there is none.
     std::string homeOf(const std::string &database, const std::string &upstream) const;
-    // A host whose zone mates go on talking to it has not been replaced as home:
-    // whoever took over would have had to hold it for dead.
-    void confirmOwnHomes(const std::string &heardFrom);
-    // Since when enough zone mates have been heard; nothing while they have not.
+    // Records a message from another host, and confirms the homes of this host when enough hosts
+    // of its zone have sent messages recently. Another host takes over a home only when the zone
+    // considers this host dead, and then sends it no messages.
+    void confirmOwnHomes(const std::string &sender);
+    // The time since which enough hosts of the zone have sent messages; nothing when too few have.
     std::optional<TimePoint> confirmationTime(const MembershipView &view, TimePoint now) const;
 
     // Operators' requests; on the control thread.
@@ -166,8 +167,8 @@
     const std::uint64_t m_incarnation;
     std::mt19937_64 m_random;
 
-    // Before the contexts below: an accept that is pending on the link context
-    // holds a socket of a traffic context.
+    // Declared before the contexts below, as it must be destroyed after them: a pending accept on
+    // the link context holds a socket of a traffic context.
     std::vector<std::unique_ptr<boost::asio::io_context>> m_traffic;
     boost::asio::io_context m_control{1};
     boost::asio::io_context m_link{1};
@@ -180,23 +181,23 @@
     std::unique_ptr<QuotaDesk> m_quotas;
     std::unique_ptr<MembershipDriver> m_membership;
     std::unique_ptr<PartitionDriver> m_partition;
-    std::unique_ptr<ConfigurationSource> m_keeper;
+    std::unique_ptr<ConfigurationSource> m_configurationSource;
     std::unique_ptr<GroupCoordination> m_coordination;
     std::unique_ptr<HomeService> m_homes;
     std::unique_ptr<SwitchoverDesk> m_switchovers;
     std::unique_ptr<Front> m_front;
     std::unique_ptr<OperatorServer> m_operators;
-    // Null without a listener of its own for readiness.
+    // Null when there is no separate readiness listener.
     std::unique_ptr<OperatorServer> m_ready;
     std::unique_ptr<Timer> m_drainTimer;
     std::unique_ptr<Timer> m_joinTimer;
-    // Control thread only. False until this host may be home of upstreams.
+    // False until this host may be home of upstreams. Control thread only.
     bool m_joined = false;
-    // Decides when this host may be home of anything; used until it has joined.
+    // Decides when this host may become home of upstreams; used until it has joined.
     std::unique_ptr<JoinGate> m_joinGate;
 
-    // When each host was last heard from; control thread only.
-    absl::flat_hash_map<std::string, TimePoint> m_heard;
+    // When a message of each host was last received; control thread only.
+    absl::flat_hash_map<std::string, TimePoint> m_lastReceivedAt;
 
     HostMetrics m_metrics;
     ServiceRecord m_record;
@@ -205,13 +206,13 @@
     // Guarded by m_retryMutex.
     RetryBudget m_retries;
 
-    // Written on the control thread, read everywhere; never null after start().
+    // Written on the control thread, read by all threads; never null after start().
     std::shared_ptr<const detail::Routes> m_routes;
 
-    // Requests of this host's callers that are at another host: id -> host.
+    // Requests of this host's callers that were sent to another host: id -> host.
     std::mutex m_remoteMutex;
     absl::flat_hash_map<std::uint64_t, std::string> m_remote;
-    // Open transactions of this host's callers: number -> host that holds them.
+    // Open transactions of this host's callers: transaction number -> home.
     // Guarded by m_remoteMutex.
     absl::flat_hash_map<std::uint64_t, std::string> m_transactionHomes;
 
--- a/src/runtime/host/hostoperations.cpp
+++ b/src/runtime/host/hostoperations.cpp
@@ -1,4 +1,4 @@
-// Operators' calls and changed settings.
+// Operator requests and changed settings.
 
 #include "runtime/host/hostdaemonimpl.h"
 
@@ -21,8 +21,8 @@
     } else if (request.path == "/metrics") {
         respondMetrics(respond);
     } else if (request.path == "/status") {
-        // The routes' view is renewed when hosts come or go, not when one of them takes
-        // a configuration; status would show others at their former version for ever.
+        // The view of the routes is replaced only when hosts join or leave, not when one of them
+        // applies a configuration. With it, the status would keep showing outdated versions.
         const auto view = m_membership->view();
         const HostIdentity self{m_settings.host, m_settings.zone, m_leaving};
         respond(OperatorResponse{200, "application/json",
@@ -46,14 +46,14 @@
         const auto now = routes();
         MetricsRegistry gauges;
         addStoreMetrics(gauges, m_store->callCounts());
-        gauges.set("store_epoch", {}, static_cast<double>(m_keeper->storeEpoch()));
+        gauges.set("store_epoch", {}, static_cast<double>(m_configurationSource->storeEpoch()));
         addLogMetrics(gauges);
         addHomeMetrics(gauges, homes);
         gauges.set("callers", {}, static_cast<double>(m_front->openConnections()));
         gauges.set("configuration_version", {}, static_cast<double>(now->configuration ? now->configuration->version : 0));
         gauges.set("hosts_live", {}, static_cast<double>(now->view->placementHosts().size()));
         gauges.set("control_cpu_seconds", {}, threadCpuSeconds());
-        // The links belong to their own thread.
+        // The links are used by their own thread only.
         asio::post(m_link, [this, gauges, respond]() mutable {
             addPeerMetrics(gauges, m_network->traffic(), m_network->linkCount());
             respond(OperatorResponse{200, "text/plain; version=0.0.4", m_metrics.render(gauges)});
@@ -75,7 +75,7 @@
         }
         applyLive(m_settings, next);
         log::setLevel(log::levelNamed(m_settings.logLevel));
-        // Their form has been checked with the file.
+        // Their format was validated with the file.
         if (const auto store = parseEndpoint(m_settings.platformAddress)) {
             m_store->moveTo(*store);
         }
--- a/src/runtime/host/hostparts.cpp
+++ b/src/runtime/host/hostparts.cpp
@@ -1,4 +1,4 @@
-// The parts of a host in front of PostgreSQL.
+// The parts of a host for PostgreSQL upstreams.
 
 #include "runtime/host/hostparts.h"
 
--- a/src/runtime/host/hostparts.h
+++ b/src/runtime/host/hostparts.h
@@ -1,5 +1,5 @@
-// The parts of a host that differ by where it runs: which protocol its callers and
-// its upstreams speak, and what its store looks like.
+// The parts of a host that depend on the deployment: the protocols of its callers and
+// upstreams, and the type of its store.
 
 #pragma once
 
@@ -19,18 +19,18 @@
 namespace egrettide
 {
 
-// Makes each part when the host starts, in this order. All run on the control thread.
+// Factories of the parts, called in this order when the host starts, all on the control thread.
 struct HostParts {
     std::function<tl::expected<std::unique_ptr<Store>, Error>(boost::asio::io_context &control)> makeStore;
     std::function<tl::expected<std::shared_ptr<const UpstreamDialect>, Error>(boost::asio::io_context &control)> makeDialect;
-    // `store` is the one that makeStore made.
+    // `store` is the result of makeStore.
     std::function<std::unique_ptr<ConfigurationSource>(boost::asio::io_context &control, Store &store,
                                                        ConfigurationKeeperHooks hooks)>
         makeConfiguration;
     CallerLinkFactory makeCaller;
 };
 
-// Callers and upstreams that speak PostgreSQL, and the product's own store API.
+// Parts for callers and upstreams with the PostgreSQL protocol, and egrettide's own store API.
 HostParts postgresParts(const Settings &settings);
 
 } // namespace egrettide
--- a/src/runtime/host/hostrouting.cpp
+++ b/src/runtime/host/hostrouting.cpp
@@ -1,4 +1,4 @@
-// Requests on their way to the home of their upstream, and messages of other hosts.
+// Routing of requests to the home of their upstream, and messages from other hosts.
 
 #include "runtime/host/hostdaemonimpl.h"
 
@@ -44,31 +44,31 @@
         const DatabaseSpec *database = now->configuration ? now->configuration->database(request.database) : nullptr;
         const UpstreamSpec *upstream = database != nullptr ? database->upstream(request.upstream) : nullptr;
         if (upstream == nullptr) {
-            handler(
-                refusal(request.id,
-                        Error{ErrorKind::Moved, "The upstream is not in the configuration in force; ask again.", movedRetry}));
+            handler(refusal(request.id,
+                            Error{ErrorKind::Moved, "The upstream is not in the current configuration; send the request again.",
+                                  movedRetry}));
             return;
         }
         home = now->homeOf(*upstream);
     }
     if (home == m_settings.host) {
-        ReplyHandler following = followingTransaction(request, *home, std::move(handler));
-        m_homes->execute(std::move(request), std::string(localFrontKey), std::move(following));
+        ReplyHandler tracking = trackTransaction(request, *home, std::move(handler));
+        m_homes->execute(std::move(request), std::string(localFrontKey), std::move(tracking));
         return;
     }
     const HostRecord *record = home ? now->view->host(*home) : nullptr;
     if (record == nullptr) {
-        handler(refusal(request.id, Error{ErrorKind::Moved, "No live host is known for this upstream; ask again.", movedRetry}));
+        handler(refusal(request.id,
+                        Error{ErrorKind::Moved, "No live host is known for this upstream; send the request again.", movedRetry}));
         return;
     }
-    ReplyHandler following = followingTransaction(request, record->name, std::move(handler));
-    executeAt(record->name, record->peerAddress, std::move(request), std::move(following));
+    ReplyHandler tracking = trackTransaction(request, record->name, std::move(handler));
+    executeAt(record->name, record->peerAddress, std::move(request), std::move(tracking));
 }
 
-// What goes wrong without it: a host leaves, or another one joins, and the place of
-// home moves while a transaction is open. Its next statement goes to the new home,
-// which knows nothing of it, and the transaction is lost to a planned change. The old
-// home still holds its connection and finishes it.
+// The home where an open transaction began, which still holds its connection. When a host joins
+// or leaves, the home of an upstream may move while a transaction is open. Sent to the new home,
+// the next statement would fail and the transaction would be lost to a planned change.
 std::optional<std::string> HostDaemon::Impl::homeOfTransaction(std::uint64_t transaction)
 {
     if (transaction == 0) {
@@ -79,18 +79,17 @@
     return found == m_transactionHomes.end() ? std::nullopt : std::optional(found->second);
 }
 
-// Notes, with the reply, where a transaction has begun, or that it is over.
-ReplyHandler HostDaemon::Impl::followingTransaction(const StatementRequest &request, const std::string &home,
-                                                    ReplyHandler handler)
+// Records from the reply at which home a transaction has begun, or that it has ended.
+ReplyHandler HostDaemon::Impl::trackTransaction(const StatementRequest &request, const std::string &home, ReplyHandler handler)
 {
     if (request.transaction == 0 && request.kind != StatementKind::Begin && request.kind != StatementKind::BeginReadOnly
         && !request.mayHoldSeveral) {
         return handler;
     }
-    return [this, asked = request.transaction, home, handler = std::move(handler)](StatementReply reply) {
-        if (asked != reply.transaction) {
+    return [this, requested = request.transaction, home, handler = std::move(handler)](StatementReply reply) {
+        if (requested != reply.transaction) {
             const std::lock_guard<std::mutex> lock(m_remoteMutex);
-            m_transactionHomes.erase(asked);
+            m_transactionHomes.erase(requested);
             if (reply.transaction != 0) {
                 m_transactionHomes[reply.transaction] = home;
             }
@@ -136,7 +135,7 @@
     asio::post(m_link, [this, home, requestId] { m_network->cancel(home, requestId); });
 }
 
-// Messages of other hosts.
+// Messages from other hosts.
 
 void HostDaemon::Impl::onPeerRequest(const PeerRef &from, StatementRequest request, ReplyHandler reply)
 {
@@ -152,7 +151,7 @@
         return;
     }
     if (const auto *gone = std::get_if<hop::FrontGone>(&message)) {
-        // Single transactions are ended by their front's ROLLBACK.
+        // A single transaction is ended by the ROLLBACK of its front.
         if (gone->transaction == 0) {
             m_homes->abandonFront(frontKeyOf(from));
         }
@@ -179,19 +178,19 @@
     } else if (const auto *opinionReply = std::get_if<hop::OpinionReply>(&message)) {
         m_coordination->onOpinionReply(from.host, *opinionReply);
     } else if (const auto *announced = std::get_if<hop::Announce>(&message)) {
-        learnPrimary(announced->database, announced->term, announced->primary);
+        applyPrimary(announced->database, announced->term, announced->primary);
     } else if (const auto *offer = std::get_if<hop::ConfigOffer>(&message)) {
-        m_keeper->onOffer(from.host, *offer);
+        m_configurationSource->onOffer(from.host, *offer);
     } else if (const auto *pull = std::get_if<hop::ConfigPull>(&message)) {
-        m_keeper->onPull(from.host, *pull);
+        m_configurationSource->onPull(from.host, *pull);
     } else if (const auto *push = std::get_if<hop::ConfigPush>(&message)) {
-        m_keeper->onPush(from.host, *push);
+        m_configurationSource->onPush(from.host, *push);
     } else if (const auto *catalogOffer = std::get_if<hop::CatalogOffer>(&message)) {
-        m_keeper->onCatalogOffer(from.host, *catalogOffer);
+        m_configurationSource->onCatalogOffer(from.host, *catalogOffer);
     } else if (const auto *catalogPull = std::get_if<hop::CatalogPull>(&message)) {
-        m_keeper->onCatalogPull(from.host, *catalogPull);
+        m_configurationSource->onCatalogPull(from.host, *catalogPull);
     } else if (const auto *catalogPush = std::get_if<hop::CatalogPush>(&message)) {
-        m_keeper->onCatalogPush(from.host, *catalogPush);
+        m_configurationSource->onCatalogPush(from.host, *catalogPush);
     } else if (const auto *request = std::get_if<hop::SwitchoverRequest>(&message)) {
         m_switchovers->onRequest(*request, [this, from](hop::SwitchoverReply reply) { sendOn(from, std::move(reply)); });
     } else if (const auto *release = std::get_if<hop::Release>(&message)) {
@@ -205,14 +204,14 @@
 {
     const OpinionQuestion asked{question.database, question.home, question.primary, question.term};
     m_homes->giveOpinion(asked, [this, from, id = question.id](std::optional<bool> agrees) {
-        // A host that does not watch the group has no opinion and stays silent.
+        // A host that does not observe the group sends no opinion.
         if (agrees) {
             sendOn(from, hop::OpinionReply{id, *agrees, !*agrees});
         }
     });
 }
 
-void HostDaemon::Impl::learnPrimary(const std::string &database, Term term, const std::string &primary)
+void HostDaemon::Impl::applyPrimary(const std::string &database, Term term, const std::string &primary)
 {
     m_homes->onAnnounce(database, term, primary);
     GroupHint hint;
--- a/src/runtime/host/hoststop.cpp
+++ b/src/runtime/host/hoststop.cpp
@@ -1,4 +1,4 @@
-// The steps of a graceful stop, and the end.
+// The steps of a graceful stop, and the final stop.
 
 #include "runtime/host/hostdaemonimpl.h"
 #include "runtime/host/postedwork.h"
@@ -12,8 +12,8 @@
 {
 
 constexpr milliseconds drainPoll{20};
-// The news of a departure gets this long to leave the sockets.
-constexpr milliseconds farewell{100};
+// The time allowed for sending the announcement of the departure.
+constexpr milliseconds departureDelay{100};
 
 } // namespace
 
@@ -74,7 +74,7 @@
 void HostDaemon::Impl::departAndStop()
 {
     m_membership->depart();
-    auto timer = std::make_shared<Timer>(m_control, farewell);
+    auto timer = std::make_shared<Timer>(m_control, departureDelay);
     timer->async_wait([this, timer](const boost::system::error_code &) {
         m_record.log("stopping");
         log::info("stop_complete", {});
--- a/src/runtime/host/hostview.cpp
+++ b/src/runtime/host/hostview.cpp
@@ -1,4 +1,4 @@
-// What a host makes of the configuration and of its view of the others.
+// Applies the configuration and the membership view to the parts of a host.
 
 #include "runtime/host/hostdaemonimpl.h"
 
@@ -11,7 +11,7 @@
 {
 
 constexpr std::string_view watchKey = "egrettide/watch";
-// In large zones a host hears from a sample of its zone mates only.
+// In large zones a host receives messages from a sample of the hosts of its zone only.
 constexpr std::size_t confirmingHosts = 3;
 
 } // namespace
@@ -38,8 +38,8 @@
 
 void HostDaemon::Impl::onConfiguration()
 {
-    m_membership->setCatalogVersion(m_keeper->announced());
-    if (const auto configuration = m_keeper->current()) {
+    m_membership->setCatalogVersion(m_configurationSource->announced());
+    if (const auto configuration = m_configurationSource->current()) {
         m_quotas->configure(*configuration);
     }
     rebuildRoutes();
@@ -54,18 +54,18 @@
     }
     m_joinGate->onView(*view, m_membership->hasMetZone(), Clock::now());
     joinWhenDue();
-    // After a pause the view may be long out of date: what it said before stays in
-    // force until a peer has answered, and homes that moved meanwhile answer Moved.
+    // After a suspension of the process the view may be out of date. The previous routes stay in
+    // force until a peer has answered; homes that moved in the meantime answer Moved.
     if (view->trusted || !routes()->configuration) {
         rebuildRoutes();
     } else {
-        keepQuotas();
+        updateKeptQuotas();
     }
 }
 
-// What goes wrong otherwise: this process was paused, others count meanwhile, and it goes on
-// from what it had counted before. So it keeps nothing until a peer has answered.
-void HostDaemon::Impl::keepQuotas()
+// A host with an untrusted view keeps no slots until a peer has answered. Otherwise, after a
+// suspension of the process, it would continue with outdated counts while another host counts.
+void HostDaemon::Impl::updateKeptQuotas()
 {
     const auto now = routes();
     const auto view = m_membership->view();
@@ -79,12 +79,12 @@
 void HostDaemon::Impl::rebuildRoutes()
 {
     auto next = std::make_shared<detail::Routes>();
-    next->configuration = m_keeper ? m_keeper->current() : nullptr;
+    next->configuration = m_configurationSource ? m_configurationSource->current() : nullptr;
     next->view = m_membership->view();
     next->placement = detail::placementFor(next->configuration.get(), *next->view);
     next->quotaKeepers = quotaKeepersIn(*next->view);
     std::atomic_store(&m_routes, std::shared_ptr<const detail::Routes>(next));
-    keepQuotas();
+    updateKeptQuotas();
     if (next->configuration) {
         m_homes->update(next->configuration, [this, next](const DatabaseSpec &, const UpstreamSpec &upstream) {
             return m_joined && next->homeOf(upstream) == m_settings.host;
@@ -164,19 +164,19 @@
     return member != nullptr ? now->homeOf(*member).value_or(std::string()) : std::string();
 }
 
-void HostDaemon::Impl::confirmOwnHomes(const std::string &heardFrom)
+void HostDaemon::Impl::confirmOwnHomes(const std::string &sender)
 {
     const auto now = routes();
-    const TimePoint heardAt = Clock::now();
-    m_heard[heardFrom] = heardAt;
-    const auto askedAt = confirmationTime(*now->view, heardAt);
-    if (!askedAt || !now->configuration) {
+    const TimePoint receivedAt = Clock::now();
+    m_lastReceivedAt[sender] = receivedAt;
+    const auto confirmedAt = confirmationTime(*now->view, receivedAt);
+    if (!confirmedAt || !now->configuration) {
         return;
     }
     for (const DatabaseSpec &database : now->configuration->databases) {
         for (const UpstreamSpec &upstream : database.upstreams) {
             if (now->homeOf(upstream) == m_settings.host) {
-                m_homes->confirmedHome(database.name, upstream.name, *askedAt);
+                m_homes->confirmedHome(database.name, upstream.name, *confirmedAt);
             }
         }
     }
@@ -187,24 +187,24 @@
     if (!view.trusted) {
         return std::nullopt;
     }
-    std::vector<TimePoint> heard{now};
+    std::vector<TimePoint> receivedTimes{now};
     std::size_t zoneHosts = 0;
     for (const PlacementHost &host : view.placementHosts()) {
         if (host.zone != m_settings.zone) {
             continue;
         }
         ++zoneHosts;
-        const auto found = m_heard.find(host.name);
-        if (found != m_heard.end()) {
-            heard.push_back(found->second);
+        const auto found = m_lastReceivedAt.find(host.name);
+        if (found != m_lastReceivedAt.end()) {
+            receivedTimes.push_back(found->second);
         }
     }
     const std::size_t needed = std::min(zoneHosts / 2 + 1, confirmingHosts);
-    if (heard.size() < needed) {
+    if (receivedTimes.size() < needed) {
         return std::nullopt;
     }
-    std::sort(heard.begin(), heard.end(), std::greater<>());
-    return heard[needed - 1];
+    std::sort(receivedTimes.begin(), receivedTimes.end(), std::greater<>());
+    return receivedTimes[needed - 1];
 }
 
 } // namespace egrettide
--- a/src/runtime/host/log.cpp
+++ b/src/runtime/host/log.cpp
@@ -1,4 +1,4 @@
-// Structured logs by Boost.Log: JSON objects, handed over to a thread that writes them.
+// Structured logs with Boost.Log: JSON objects that a writer thread writes to the output.
 
 #include "runtime/host/log.h"
 
@@ -36,12 +36,12 @@
 
 namespace blog = boost::log;
 
-// Lines that did not fit into the queue or could not be written, and how many of them a
-// line has told of.
+// Lines that did not fit into the queue or could not be written, and how many of them have
+// been reported by a line.
 std::atomic<std::uint64_t> dropped{0};
-std::atomic<std::uint64_t> droppedTold{0};
-// Lines that failure() held back; it tells of them itself.
-std::atomic<std::uint64_t> heldBack{0};
+std::atomic<std::uint64_t> droppedReported{0};
+// Lines that failure() suppressed; it reports them itself.
+std::atomic<std::uint64_t> suppressed{0};
 
 std::atomic<Level> threshold{Level::Warning};
 std::string &hostName()
@@ -81,13 +81,12 @@
     for (const Field &field : fields) {
         std::visit([&](const auto &value) { line[std::string(field.name)] = value; }, field.value);
     }
-    // Text from outside may hold bytes that are no UTF-8; a log line must not throw.
+    // External text may contain invalid UTF-8; logging must not throw.
     return line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Writes lines to a descriptor, on a thread of its own. It looks whether the descriptor
-// takes more before each part, so that it never hangs in a write that nobody reads, and
-// ends when told to.
+// Writes lines to a descriptor on its own thread. It polls the descriptor before each write,
+// so that it never blocks on an output that is not read and can end at any time.
 class LineWriter
 {
 public:
@@ -109,7 +108,7 @@
         m_changed.notify_one();
     }
 
-    // Writes what is queued until the deadline, and ends the thread.
+    // Writes the queued lines until the deadline, and ends the thread.
     void close(std::chrono::steady_clock::time_point deadline)
     {
         {
@@ -122,7 +121,7 @@
     }
 
 private:
-    // How long a full output is waited for before the end is looked for.
+    // The time to wait for a full output before checking whether the writer is overdue.
     static constexpr int pollMilliseconds = 100;
 
     void run()
@@ -144,9 +143,9 @@
     void writeAfterDropped(const std::string &line) const
     {
         const std::uint64_t lost = dropped.load();
-        if (lost > droppedTold.load()) {
-            const std::uint64_t told = droppedTold.exchange(lost);
-            write(lineFor(Level::Warning, "lines_dropped", {{"lines", lost - told}}));
+        if (lost > droppedReported.load()) {
+            const std::uint64_t reported = droppedReported.exchange(lost);
+            write(lineFor(Level::Warning, "lines_dropped", {{"lines", lost - reported}}));
         }
         write(line);
     }
@@ -165,7 +164,7 @@
             if (::poll(&ready, 1, pollMilliseconds) <= 0) {
                 continue;
             }
-            // A pipe that is ready takes this much without waiting.
+            // A pipe that polls as writable accepts this many bytes without blocking.
             const std::size_t part = std::min<std::size_t>(line.size() - done, PIPE_BUF);
             const ssize_t written = ::write(m_output, line.data() + done, part);
             if (written < 0 && errno != EINTR && errno != EAGAIN) {
@@ -181,15 +180,15 @@
         std::chrono::steady_clock::time_point::max().time_since_epoch().count()};
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    // Invariant: queuedLines at most.
+    // Invariant: holds at most queuedLines lines.
     std::deque<std::string> m_lines;
     bool m_closing = false;
-    // Last, since it uses the others from its start.
+    // Declared last, since the thread uses the other members from its start.
     std::thread m_thread;
 };
 
-// Hands lines over to a writer. Records of the library do not leave the thread that
-// made them: it counts references to them out of the thread sanitizer's sight.
+// Passes lines to a writer. Log records of the library stay on the thread that created them,
+// since the thread sanitizer does not see their reference counting.
 class QueueBackend : public blog::sinks::basic_formatted_sink_backend<char>
 {
 public:
@@ -208,7 +207,7 @@
 
 using LineSink = blog::sinks::synchronous_sink<QueueBackend>;
 
-// Formats lines and drops them.
+// Formats lines and discards them.
 class DiscardBackend : public blog::sinks::basic_formatted_sink_backend<char>
 {
 public:
@@ -217,13 +216,12 @@
     }
 };
 
-// Formats one record and drops it.
+// Formats one record and discards it, before other threads start.
 //
-// What goes wrong without it: the library fills its formatter's table with the first
-// record of the process, and later ones look at a flag without synchronization to see
-// that it is filled. Two threads that log their first lines at once race for the table
-// (seen by the thread sanitizer in 3 of 84 starts of three hosts). Filled before other
-// threads start, the table only is read.
+// The library fills the table of its formatter with the first record of the process, and later
+// records check an unsynchronized flag. Without this call, two threads that log their first
+// lines at the same time race for the table (reported by the thread sanitizer in 3 of 84 starts
+// of three hosts).
 void prepareFormatter()
 {
     const auto sink = boost::make_shared<blog::sinks::synchronous_sink<DiscardBackend>>();
@@ -233,7 +231,7 @@
     blog::core::get()->remove_sink(sink);
 }
 
-// Both empty, or both set from open() to close().
+// Either both empty, or both set (from open() to close()).
 struct OpenLog {
     boost::shared_ptr<LineSink> sink;
     std::shared_ptr<LineWriter> writer;
@@ -279,7 +277,7 @@
 
 std::uint64_t droppedLines()
 {
-    return dropped.load() + heldBack.load();
+    return dropped.load() + suppressed.load();
 }
 
 void setLevel(Level level)
@@ -299,32 +297,32 @@
 namespace
 {
 
-// Counts the lines of the running second.
+// Limits the lines of each second.
 class LineBudget
 {
 public:
-    // The number of lines dropped before this one; nothing when it is dropped too.
+    // Returns the number of lines dropped before this one; nothing when this one is dropped too.
     std::optional<std::uint64_t> take()
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const auto now = std::chrono::steady_clock::now();
         if (now >= m_renewedAt + std::chrono::seconds(1)) {
             m_renewedAt = now;
-            m_left = failureLines;
+            m_remaining = failureLines;
         }
-        if (m_left == 0) {
+        if (m_remaining == 0) {
             ++m_dropped;
-            ++heldBack;
+            ++suppressed;
             return std::nullopt;
         }
-        --m_left;
+        --m_remaining;
         return std::exchange(m_dropped, 0);
     }
 
 private:
     std::mutex m_mutex;
     std::chrono::steady_clock::time_point m_renewedAt;
-    int m_left = 0;
+    int m_remaining = 0;
     std::uint64_t m_dropped = 0;
 };
 
--- a/src/runtime/host/log.h
+++ b/src/runtime/host/log.h
@@ -1,6 +1,6 @@
 // Structured logs: one JSON object a line, with stable event names that
-// operators can search and alert on (docs/OPERATIONS.md lists them). Secrets are
-// never passed in: callers log names, marks and counts only.
+// operators can search and alert on (docs/OPERATIONS.md lists them). Never pass in secrets:
+// only names, marks and counts are logged.
 
 #pragma once
 
@@ -19,10 +19,10 @@
 
 enum class Level { Debug, Info, Warning, Error };
 
-// The level of that name ("debug", "info", "warning", "error"); Info otherwise.
+// The level with that name ("debug", "info", "warning", "error"); Info for any other name.
 Level levelNamed(std::string_view name);
 
-// A value beside an event.
+// The value of a field.
 using Value = std::variant<std::string, std::int64_t, std::uint64_t, double, bool>;
 
 struct Field {
@@ -56,36 +56,36 @@
 };
 
 // Sends lines of `level` and above to the descriptor, standard output by default, each
-// with the host's name. To be called once, before other threads start.
+// with the host's name. Must be called once, before other threads start.
 //
-// What goes wrong when whoever logs also writes: nobody reads the output for a while, the
-// pipe fills up, and every caller of the host waits. So lines go through a queue of
-// `queuedLines` to a thread of its own; what does not fit is dropped and counted, and
-// the next line that fits is preceded by a line that says how many were.
+// Lines pass through a queue of `queuedLines` to a writer thread. If the logging thread wrote
+// them itself, an output that is not read would fill its pipe and block every caller of the
+// host. Lines that do not fit are dropped and counted; the next line that fits is preceded by
+// a line with their number.
 void open(std::string_view host, Level level, int output = 1);
 
-// Writes what is queued, for `closeBound` at most, and ends the writing thread. Lines of
+// Writes the queued lines, for at most `closeBound`, and ends the writer thread. Lines of
 // later events are lost.
 void close();
 
-// Lines dropped since the start, those of failure() beyond its budget included.
+// Number of lines dropped since the start, including those of failure() beyond its limit.
 std::uint64_t droppedLines();
 
-// About 0.5 MB of lines; at 50 failures a second and host, 40 s of an output that nobody
-// reads.
+// About 0.5 MB of lines; at 50 failures a second, enough for 40 s of an output that is not
+// read.
 constexpr std::size_t queuedLines = 2048;
-// How long the end of the process may wait for an output that nobody reads.
+// The maximum time that the end of the process waits for an output that is not read.
 constexpr std::chrono::milliseconds closeBound{500};
 
-// Changes what is written, at any time and from any thread.
+// Changes the minimum level of lines that are written; thread-safe.
 void setLevel(Level level);
 
 // Queues one line. Thread-safe; never waits for the output.
 void event(Level level, std::string_view name, std::initializer_list<Field> fields = {});
 
-// One line for a request that failed. At most `failureLines` a second are written, so
-// that an overload is not made worse by its own report; the next line after a pause
-// says how many were dropped.
+// Logs one line for a failed request. At most `failureLines` a second are written, so that
+// logging does not make an overload worse. A line with the number of dropped lines precedes
+// the next line that is written.
 constexpr int failureLines = 50;
 void failure(std::string_view name, std::initializer_list<Field> fields);
 
--- a/src/runtime/host/mechanisms.cpp
+++ b/src/runtime/host/mechanisms.cpp
@@ -1,4 +1,4 @@
-// What it means to switch a mechanism off.
+// The effect of each mechanism that is switched off.
 
 #include "runtime/host/mechanisms.h"
 
--- a/src/runtime/host/mechanisms.h
+++ b/src/runtime/host/mechanisms.h
@@ -1,5 +1,5 @@
-// Mechanisms that an expert can switch off, to measure what each is worth on a deployment.
-// All are on unless the settings say otherwise; none of them guards a promise.
+// Mechanisms that experts can disable to measure their effect on a deployment. All are enabled
+// by default; no consistency guarantee depends on any of them.
 
 #pragma once
 
@@ -22,10 +22,10 @@
 {
 public:
     Mechanisms() = default;
-    // Names as in the settings, each one of names().
+    // Takes the names of the settings; each must be one of names().
     explicit Mechanisms(const std::vector<std::string> &switchedOff);
 
-    // Every name that the settings may hold, in the order of the documentation.
+    // All names that the settings may contain, in the order of the documentation.
     static const std::vector<std::string_view> &names();
 
     void applyTo(HomeServiceSettings &homes) const;
--- a/src/runtime/host/postedwork.cpp
+++ b/src/runtime/host/postedwork.cpp
@@ -1,4 +1,4 @@
-// Runs the handlers that stopped contexts have left.
+// Runs the remaining handlers of stopped contexts.
 
 #include "runtime/host/postedwork.h"
 
@@ -8,11 +8,11 @@
 namespace
 {
 
-std::size_t runReady(boost::asio::io_context &context, std::size_t most)
+std::size_t runReady(boost::asio::io_context &context, std::size_t limit)
 {
     std::size_t ran = 0;
     context.restart();
-    while (ran < most && context.poll_one() > 0) {
+    while (ran < limit && context.poll_one() > 0) {
         ++ran;
     }
     return ran;
@@ -22,15 +22,15 @@
 
 std::size_t finishPosted(const std::vector<boost::asio::io_context *> &contexts)
 {
-    std::size_t all = 0;
+    std::size_t total = 0;
     std::size_t before = 0;
     do {
-        before = all;
+        before = total;
         for (boost::asio::io_context *context : contexts) {
-            all += runReady(*context, maxPostedHandlers - all);
+            total += runReady(*context, maxPostedHandlers - total);
         }
-    } while (all > before);
-    return all;
+    } while (total > before);
+    return total;
 }
 
 } // namespace egrettide
--- a/src/runtime/host/settings.cpp
+++ b/src/runtime/host/settings.cpp
@@ -1,4 +1,4 @@
-// Checks and reads a host's settings file.
+// Validates and parses the settings file of a host.
 
 #include "runtime/host/settings.h"
 
@@ -85,7 +85,7 @@
     return settings;
 }
 
-// Notes a field that differs.
+// Adds the name of a field that differs.
 template <typename Value>
 void compare(std::vector<std::string> &names, std::string_view name, const Value &before, const Value &after)
 {
--- a/src/runtime/host/settings.h
+++ b/src/runtime/host/settings.h
@@ -1,5 +1,5 @@
-// The settings of one host: who and where it is, and whom it talks to. Everything
-// that operators change while the system runs is in the configuration instead.
+// The settings of one host: its identity, location and addresses. Everything that operators
+// change while the system runs is in the configuration instead.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 {
 
 struct Settings {
-    // Unique among hosts; a replaced host may come back under the same name.
+    // Unique among hosts; the replacement of a host may use the same name.
     std::string host;
     std::string zone;
     // All addresses are "IP:port".
@@ -29,58 +29,58 @@
     int maxCallers = 5000;
     // Signs session tokens; the same on all hosts of a deployment.
     std::string sessionKey;
-    // The pause between two looks at a group that nobody waits for. Longer costs
-    // less and notices a silent primary later; see docs/CAPACITY.md.
+    // The interval of status probes of a group that no request waits for. A longer interval
+    // costs less, but detects a silent primary later; see docs/CAPACITY.md.
     milliseconds idleProbe{50};
     // The role under which hosts connect to upstreams.
     std::string upstreamUser = "egrettide";
-    // "postgresql", or "platform" for callers, upstreams and the store of the
+    // "postgresql", or "platform" for the protocols of callers, upstreams and store of the
     // users' platform.
     std::string interface = "postgresql";
-    // Takes orders to promote; with the interface "platform" only.
+    // Accepts promotion orders; with the interface "platform" only.
     std::string ordersAddress;
-    // Answers the balancer's question for readiness; empty when the operators'
-    // listener alone does.
+    // Answers the readiness checks of the load balancer; empty when only the operators'
+    // listener does.
     std::string readyAddress;
     std::string readyPath = "/ready";
-    // After the start of a graceful stop the balancer may go on sending new callers
-    // for this long; they are served.
+    // The time after the start of a graceful stop during which the load balancer may still send
+    // new callers; they are served.
     milliseconds balancerNotice{0};
-    // After so many answers in a row that this host is not ready the balancer sends new
-    // callers elsewhere; 0 when that is not known, and balancerNotice has to do.
+    // The number of consecutive "not ready" answers after which the load balancer sends new
+    // callers to other hosts; 0 when it is unknown, and only balancerNotice applies.
     int balancerMisses = 0;
-    // What this host's link carries, in megabits a second; 0 when that is not known. Bulk
-    // between hosts and from the store takes half of it.
+    // The bandwidth of this host's network link, in megabits a second; 0 when unknown. Bulk
+    // transfers between hosts and from the store use at most half of it.
     double linkMbps = 0;
-    // What the quotas of workspaces promise; see QuotaBounds.
+    // The accuracy of workspace quotas; see QuotaBounds.
     QuotaBounds quota;
-    // The whole of a graceful stop; what is still open then is cut.
+    // The maximum duration of a graceful stop; work that is still open then is aborted.
     milliseconds stopBound{30000};
-    // "adaptive", or "baseline" to measure against.
+    // "adaptive", or "baseline" as a reference for measurements.
     std::string routingPolicy = "adaptive";
-    // For experts who measure; see Mechanisms. Empty in production.
+    // For measurements by experts; see Mechanisms. Empty in production.
     std::vector<std::string> mechanismsOff;
 };
 
-// What a changed settings file means for a host that runs. Names are those of the file.
+// The effect of a changed settings file on a running host. Names are those of the file.
 struct SettingsDifference {
-    // In force at once.
+    // Settings that take effect at once.
     std::vector<std::string> applied;
-    // The listeners and the host's identity: in force after the next start.
+    // Settings that take effect at the next start, such as listeners and the host's identity.
     std::vector<std::string> needRestart;
 };
 
 SettingsDifference differenceBetween(const Settings &running, const Settings &next);
 
-// Makes the host's settings those of `next`, but for what needs a restart.
+// Copies the settings of `next` to `running`, except those that need a restart.
 void applyLive(Settings &running, const Settings &next);
 
 // The JSON Schema that settings files are checked against; also shipped as
 // schema/settings.schema.json.
 std::string_view settingsSchema();
 
-// Reads a settings file's text. All faults are reported at once, each with the
-// JSON path and what to write instead.
+// Parses the text of a settings file. Reports all errors at once, each with its JSON path and
+// a correction.
 tl::expected<Settings, std::vector<Error>> parseSettings(std::string_view text);
 
 } // namespace egrettide
--- a/src/runtime/host/socketoptions.cpp
+++ b/src/runtime/host/socketoptions.cpp
@@ -1,4 +1,4 @@
-// Options of sockets that stay open for long.
+// Options of long-lived sockets.
 
 #include "runtime/host/socketoptions.h"
 
@@ -16,27 +16,27 @@
 
 template <int Name> using TcpOption = asio::detail::socket_option::integer<IPPROTO_TCP, Name>;
 
-// How soon a connection breaks over which nothing comes any more. One lost packet is no cause.
-struct ProbePlan {
-    // Silence before the first probe, and the time between probes, in seconds.
+// Determines how soon a silent connection breaks. A single lost packet must not break it.
+struct KeepaliveOptions {
+    // Silence before the first probe, and the interval between probes, in seconds.
     int idleSeconds;
     int probeSeconds;
-    // Probes in a row that may be lost.
+    // Number of consecutive lost probes that breaks the connection.
     int probes;
 
-    // Unacknowledged data breaks the connection after as long as the probes do.
+    // Unacknowledged data breaks the connection after the same time as lost probes.
     int unsentMilliseconds() const
     {
         return (idleSeconds + probeSeconds * probes) * 1000;
     }
 };
 
-constexpr ProbePlan lastingPlan{2, 1, 2};
-constexpr ProbePlan storePlan{1, 1, 2};
-// One probe a minute for each idle caller: at 4,000 callers a host, 67 a second.
+constexpr KeepaliveOptions longLivedKeepalive{2, 1, 2};
+constexpr KeepaliveOptions storeKeepalive{1, 1, 2};
+// One probe a minute per idle caller: with 4,000 callers on a host, 67 a second.
 constexpr int callerIdleSeconds = 60;
 
-void probeAfter(asio::ip::tcp::socket &socket, int seconds)
+void enableKeepalive(asio::ip::tcp::socket &socket, int seconds)
 {
     boost::system::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -44,30 +44,30 @@
     socket.set_option(TcpOption<TCP_KEEPIDLE>(seconds), ignored);
 }
 
-void probeAsPlanned(asio::ip::tcp::socket &socket, const ProbePlan &plan)
+void applyKeepalive(asio::ip::tcp::socket &socket, const KeepaliveOptions &keepalive)
 {
     boost::system::error_code ignored;
-    probeAfter(socket, plan.idleSeconds);
-    socket.set_option(TcpOption<TCP_KEEPINTVL>(plan.probeSeconds), ignored);
-    socket.set_option(TcpOption<TCP_KEEPCNT>(plan.probes), ignored);
-    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(plan.unsentMilliseconds()), ignored);
+    enableKeepalive(socket, keepalive.idleSeconds);
+    socket.set_option(TcpOption<TCP_KEEPINTVL>(keepalive.probeSeconds), ignored);
+    socket.set_option(TcpOption<TCP_KEEPCNT>(keepalive.probes), ignored);
+    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(keepalive.unsentMilliseconds()), ignored);
 }
 
 } // namespace
 
 void setLastingOptions(asio::ip::tcp::socket &socket)
 {
-    probeAsPlanned(socket, lastingPlan);
+    applyKeepalive(socket, longLivedKeepalive);
 }
 
 void setStoreOptions(asio::ip::tcp::socket &socket)
 {
-    probeAsPlanned(socket, storePlan);
+    applyKeepalive(socket, storeKeepalive);
 }
 
 void setCallerOptions(asio::ip::tcp::socket &socket)
 {
-    probeAfter(socket, callerIdleSeconds);
+    enableKeepalive(socket, callerIdleSeconds);
 }
 
 } // namespace egrettide
--- a/src/runtime/host/socketoptions.h
+++ b/src/runtime/host/socketoptions.h
@@ -1,4 +1,4 @@
-// Options of sockets that stay open for long.
+// Options of long-lived sockets.
 
 #pragma once
 
@@ -9,19 +9,18 @@
 
 // For connections to upstreams and hosts.
 //
-// What goes wrong without them: the other side loses its power or its network, no
-// packet says so, and the connection hangs for minutes while new ones would work.
-// One would notice requests that end at their deadlines on one connection only.
-// Probes after a short silence and a bound on unacknowledged data break such a
-// connection within a few seconds.
+// When the other side loses power or network, no packet reports it. Without these options such
+// a connection hangs for minutes, and its requests end at their deadlines while new connections
+// would work. Keepalive probes after a short silence and a limit on the age of unacknowledged
+// data break the connection within a few seconds.
 void setLastingOptions(boost::asio::ip::tcp::socket &socket);
 
 // For connections to the store, on which a host waits for changes of the configuration: as
-// above, and broken sooner, so that a change still comes into force in time.
+// above, but broken sooner, so that changes still take effect in time.
 void setStoreOptions(boost::asio::ip::tcp::socket &socket);
 
-// For callers' connections, of which there are many and mostly idle ones: probed
-// rarely, so that those whose host vanished do not stay for ever.
+// For connections of callers, which are many and mostly idle: probed rarely, only to close
+// those whose remote host has disappeared.
 void setCallerOptions(boost::asio::ip::tcp::socket &socket);
 
 } // namespace egrettide
--- a/src/runtime/host/timer.h
+++ b/src/runtime/host/timer.h
@@ -1,5 +1,5 @@
-// Timers on the clock of the host, so that a machine that was suspended shows as a timer
-// that fires late.
+// Timers on the clock of the host. A suspension of the machine is detected as a timer that
+// fires late.
 
 #pragma once
 
--- a/tests/runtime/membershipdriver_test.cpp
+++ b/tests/runtime/membershipdriver_test.cpp
@@ -1,4 +1,4 @@
-// When a host reads the platform's list of hosts.
+// Tests when a host registers itself and reads the host list.
 
 #define BOOST_TEST_MODULE MembershipDriver
 #include <boost/test/unit_test.hpp>
@@ -16,7 +16,7 @@
 namespace
 {
 
-// Answers registrations when told to, and lists `listed`.
+// A store that answers registrations on demand and returns `listed` as the host list.
 class ListStore : public Store
 {
 public:
@@ -84,10 +84,9 @@
 
 BOOST_AUTO_TEST_SUITE(ListOfHosts)
 
-// Symptom: after a power cut some homes are taken 0.3 s and more after the last host is back.
-// Sequence: a host starts; others meet it before the store has taken its registration.
-// Cause: it knew somebody by then and was not its zone's reader, so it never read the list,
-// and could not tell that it had met its zone.
+// A host that peers discover before the store accepts its registration, and that is not its
+// zone's store reader, must still read the list once. Otherwise it cannot detect that it has
+// discovered its zone, and after a power cut takes homes 0.3 s or more after the last host is back.
 BOOST_AUTO_TEST_CASE(IsReadOnceByEveryHostThatStarts)
 {
     boost::asio::io_context context;
@@ -99,7 +98,7 @@
     hooks.send = [](const std::string &, const std::string &, hop::HopMessage) {};
     hooks.changed = [&](const std::shared_ptr<const MembershipView> &) { hasMetZone = started->hasMetZone(); };
     hooks.reachChanged = [](const HostReach &) {};
-    hooks.catalogHeard = [](const std::string &, const CatalogVersion &) {};
+    hooks.catalogAdvertised = [](const std::string &, const CatalogVersion &) {};
     hooks.isWatcher = [] { return false; };
     MembershipDriver driver(context, store, hostIn("zone-a", "self"), 1, hooks);
     started = &driver;
@@ -109,13 +108,13 @@
     store.registered({});
     context.poll();
     BOOST_TEST(store.callCounts().hostLists == 1U,
-               "a host that others met early read the list " << store.callCounts().hostLists << " times, not once");
-    BOOST_TEST(hasMetZone, "the host was not told that it has met its zone");
+               "a host that peers discovered early read the list " << store.callCounts().hostLists << " times, not once");
+    BOOST_TEST(hasMetZone, "the host did not report that it has discovered its zone");
     driver.stop();
 }
 
-// Guards against a host that others don't find, since the store came back from a copy without its entry.
-BOOST_AUTO_TEST_CASE(GetsAHostAgainAfterARestore)
+// A host whose entry is missing in a restored store must register again, or new hosts cannot find it.
+BOOST_AUTO_TEST_CASE(ContainsTheHostAgainAfterARestore)
 {
     boost::asio::io_context context;
     ListStore store(context);
@@ -123,7 +122,7 @@
     hooks.send = [](const std::string &, const std::string &, hop::HopMessage) {};
     hooks.changed = [](const std::shared_ptr<const MembershipView> &) {};
     hooks.reachChanged = [](const HostReach &) {};
-    hooks.catalogHeard = [](const std::string &, const CatalogVersion &) {};
+    hooks.catalogAdvertised = [](const std::string &, const CatalogVersion &) {};
     hooks.isWatcher = [] { return false; };
     MembershipDriver driver(context, store, hostIn("zone-a", "self"), 1, hooks);
     driver.start();
@@ -138,7 +137,7 @@
     driver.depart();
     context.restart();
     context.run_until(Clock::now() + milliseconds{500});
-    BOOST_TEST(!store.registered, "a host that has gone put itself on the list again");
+    BOOST_TEST(!store.registered, "a host that has left registered again");
     driver.stop();
 }
 
