--- a/tests/runtime/log_test.cpp
+++ b/tests/runtime/log_test.cpp
@@ -1,4 +1,4 @@
-// Logs when nobody reads them.
+// Logging to an output that is not read.
 
 #define BOOST_TEST_MODULE Log
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 namespace
 {
 
-// A pipe that is read only when asked to.
+// A pipe that is read only on demand.
 class UnreadPipe
 {
 public:
@@ -38,7 +38,7 @@
         return m_ends[1];
     }
 
-    // Everything up to the end, which comes once the write end is closed.
+    // Reads to the end of the data, which is reached once the write end is closed.
     std::string readAll() const
     {
         std::string text;
@@ -55,7 +55,7 @@
 
 struct Counted {
     std::uint64_t events = 0;
-    std::uint64_t saidDropped = 0;
+    std::uint64_t reportedDropped = 0;
 };
 
 Counted count(const std::string &text)
@@ -64,7 +64,7 @@
     for (std::size_t at = 0, end = 0; (end = text.find('\n', at)) != std::string::npos; at = end + 1) {
         const auto line = nlohmann::json::parse(text.substr(at, end - at));
         if (line["event"] == "lines_dropped") {
-            counted.saidDropped += line["lines"].get<std::uint64_t>();
+            counted.reportedDropped += line["lines"].get<std::uint64_t>();
         } else {
             ++counted.events;
         }
@@ -76,11 +76,9 @@
 
 BOOST_AUTO_TEST_SUITE(LogOfAHost)
 
-// Symptom: every caller of a host waits, and its process is idle.
-// Sequence: whoever collects the output hangs; the pipe fills up; the next line blocks
-// the thread that serves callers.
-// Cause: the thread that decides also wrote.
-BOOST_AUTO_TEST_CASE(NeverWaitsForAnOutputThatNobodyReads)
+// When the log collector hangs, the pipe fills up. A line written by the thread that serves
+// callers would then block it, and with it every caller of the host.
+BOOST_AUTO_TEST_CASE(NeverWaitsForAnOutputThatIsNotRead)
 {
     constexpr int events = 20000;
     const UnreadPipe pipe;
@@ -88,7 +86,7 @@
     for (int i = 0; i < events; ++i) {
         log::info("happened", {{"number", i}});
     }
-    BOOST_TEST(log::droppedLines() > 0U, "all of 20000 lines fit into a pipe and a queue of " << log::queuedLines);
+    BOOST_TEST(log::droppedLines() > 0U, "all 20000 lines fit into a pipe and a queue of " << log::queuedLines);
 
     std::string text;
     std::thread reader([&] { text = pipe.readAll(); });
@@ -99,11 +97,11 @@
     const Counted counted = count(text);
     BOOST_TEST(counted.events + log::droppedLines() == events + 1U,
                counted.events << " lines came out and " << log::droppedLines() << " were dropped of " << events + 1);
-    BOOST_TEST(counted.saidDropped > 0U, "nothing in the output says that lines are missing");
-    BOOST_TEST(counted.saidDropped <= log::droppedLines());
+    BOOST_TEST(counted.reportedDropped > 0U, "no line of the output reports the dropped lines");
+    BOOST_TEST(counted.reportedDropped <= log::droppedLines());
 }
 
-BOOST_AUTO_TEST_CASE(EndsAlthoughNobodyReads)
+BOOST_AUTO_TEST_CASE(ClosesAlthoughTheOutputIsNotRead)
 {
     const UnreadPipe pipe;
     log::open("front-1", log::Level::Info, pipe.writeEnd());
@@ -115,7 +113,7 @@
     BOOST_TEST(!pipe.readAll().empty());
 }
 
-BOOST_AUTO_TEST_CASE(HoldsFailuresToTheirBudget)
+BOOST_AUTO_TEST_CASE(LimitsTheLinesOfFailures)
 {
     const UnreadPipe pipe;
     log::open("front-1", log::Level::Info, pipe.writeEnd());
@@ -128,7 +126,7 @@
     ::close(pipe.writeEnd());
     const Counted counted = count(pipe.readAll());
     BOOST_TEST(counted.events >= static_cast<std::uint64_t>(log::failureLines));
-    BOOST_TEST(log::droppedLines() > before, "what is held back has to be counted");
+    BOOST_TEST(log::droppedLines() > before, "suppressed lines must be counted");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/runtime/logstart_test.cpp
+++ b/tests/runtime/logstart_test.cpp
@@ -1,5 +1,5 @@
-// The first lines of a process. A program of its own: the library that formats them sets
-// itself up once in a process, with the first line.
+// The first log lines of a process. A separate program, since the logging library initializes
+// itself once per process, with the first line.
 
 #define BOOST_TEST_MODULE LogStart
 #include <boost/test/unit_test.hpp>
@@ -17,11 +17,9 @@
 
 BOOST_AUTO_TEST_SUITE(LogOfAStartingHost)
 
-// Symptom: a deployment test fails under the thread sanitizer, now and then: a data race
-// in the library's formatter between the thread that starts the host and one that it started.
-// Sequence: a host starts its threads; two of them log their first lines at the same moment.
-// Cause: the library fills a table with the first line that it formats, and others read
-// it without synchronization; the first line came after the threads.
+// The logging library fills a table with the first line that it formats, and other threads read
+// it without synchronization. When two threads log their first lines at the same time, the
+// thread sanitizer reports a data race; log::open() must therefore format a line before.
 BOOST_AUTO_TEST_CASE(FormatsTheFirstLinesOfSeveralThreadsWithoutARace)
 {
     constexpr int threads = 8;
@@ -33,7 +31,7 @@
     started.reserve(threads);
     for (int i = 0; i < threads; ++i) {
         started.emplace_back([&waiting, i] {
-            // Spinning, and relaxed: a lock would order the lines and hide the race.
+            // Spins with relaxed loads: a lock would order the lines and hide the race.
             waiting.fetch_sub(1, std::memory_order_relaxed);
             while (waiting.load(std::memory_order_relaxed) > 0) { }
             log::info("started", {{"number", i}});
--- a/tests/runtime/peernetwork_test.cpp
+++ b/tests/runtime/peernetwork_test.cpp
@@ -1,5 +1,5 @@
-// Links between hosts in one process: what becomes of every request, whatever
-// happens to its link.
+// Links between hosts in one process: the outcome of every request under all failures of
+// its link.
 
 #define BOOST_TEST_MODULE PeerNetwork
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds generous{10};
+constexpr std::chrono::seconds testTimeout{10};
 
 PeerNetworkOptions optionsOf(const std::string &host, bool listens = true)
 {
@@ -41,12 +41,12 @@
     request.upstream = "booking-1";
     request.kind = kind;
     request.transaction = transaction;
-    request.deadline = Clock::now() + generous;
+    request.deadline = Clock::now() + testTimeout;
     request.batch = "batch " + std::to_string(id);
     return request;
 }
 
-std::string nameOfReply(const StatementReply &reply)
+std::string describeReply(const StatementReply &reply)
 {
     return reply.error ? std::string(nameOf(reply.error->kind)) + ": " + reply.error->message : "no error";
 }
@@ -115,15 +115,15 @@
                       [this, id](StatementReply reply) { replies[id].push_back(std::move(reply)); });
     }
 
-    // Runs the loop until the condition holds.
+    // Runs the event loop until the condition holds.
     void await(const std::string &what, const std::function<bool()> &condition)
     {
-        const TimePoint end = Clock::now() + generous;
+        const TimePoint end = Clock::now() + testTimeout;
         context.restart();
         while (!condition() && Clock::now() < end) {
             context.run_one_for(milliseconds{20});
         }
-        BOOST_REQUIRE_MESSAGE(condition(), "waited " << generous.count() << " s in vain for: " << what);
+        BOOST_REQUIRE_MESSAGE(condition(), "waited " << testTimeout.count() << " s without result for: " << what);
     }
 
     StatementReply replyTo(std::uint64_t id)
@@ -143,7 +143,7 @@
     }
 };
 
-// Accepts connections and says nothing, or what a test wants said.
+// Accepts connections and sends only `greeting`, which may be empty.
 struct RawPeer {
     tcp::acceptor acceptor;
     std::vector<std::shared_ptr<tcp::socket>> sockets;
@@ -194,15 +194,14 @@
     BOOST_TEST(pair.servedFrom[0].host == "front");
     pair.answer(0, "rows");
     const StatementReply reply = pair.replyTo(4);
-    BOOST_TEST(!reply.error, nameOfReply(reply));
+    BOOST_TEST(!reply.error, describeReply(reply));
     BOOST_TEST(reply.bytes == "rows");
     BOOST_TEST(pair.front.unansweredRequests() == 0U);
 }
 
-// Symptom: a caller gets the answer to somebody else's request.
-// Sequence: two requests share one link; the home answers the second one first.
-// Cause: answers are matched by their order instead of by their number.
-std::size_t mixedUpAnswers(bool matchesById)
+// Answers that are matched by order instead of by id reach the wrong caller when the home
+// answers the second of two requests on a link first.
+std::size_t countWrongAnswers(bool matchesById)
 {
     constexpr std::uint64_t count = 200;
     Pair pair([matchesById](PeerNetworkOptions &options) { options.matchesAnswersById = matchesById; });
@@ -216,41 +215,41 @@
     for (const std::size_t index : order) {
         pair.answer(index, "answer to " + pair.served[index].first.batch);
     }
-    std::size_t mixedUp = 0;
+    std::size_t wrongAnswers = 0;
     for (std::uint64_t id = 1; id <= count; ++id) {
-        mixedUp += pair.replyTo(id).bytes == "answer to batch " + std::to_string(id) ? 0 : 1;
+        wrongAnswers += pair.replyTo(id).bytes == "answer to batch " + std::to_string(id) ? 0 : 1;
         BOOST_TEST(pair.replies[id].size() == 1U, "request " << id << " was answered more than once");
     }
-    return mixedUp;
+    return wrongAnswers;
 }
 
 BOOST_AUTO_TEST_CASE(GivesEachRequestItsOwnAnswerInAnyOrder)
 {
-    const std::size_t mixedUp = mixedUpAnswers(true);
-    BOOST_TEST(mixedUp == 0U, mixedUp << " of 200 callers got somebody else's answer");
+    const std::size_t wrongAnswers = countWrongAnswers(true);
+    BOOST_TEST(wrongAnswers == 0U, wrongAnswers << " of 200 callers received another caller's answer");
 }
 
-BOOST_AUTO_TEST_CASE(MixesAnswersUpOnceTheyAreMatchedByOrder)
+BOOST_AUTO_TEST_CASE(ConfusesAnswersThatAreMatchedByOrder)
 {
-    BOOST_TEST(mixedUpAnswers(false) > 0U, "matching by order has to mix answers up; the proof above is blind");
+    BOOST_TEST(countWrongAnswers(false) > 0U, "matching by order must confuse answers; otherwise the test above proves nothing");
 }
 
-BOOST_AUTO_TEST_CASE(SaysNotRunWhenTheHomeCannotBeReached)
+BOOST_AUTO_TEST_CASE(ReportsNotRunWhenTheHomeCannotBeReached)
 {
     Pair pair;
-    const std::string nobody = [&] {
+    const std::string unusedAddress = [&] {
         tcp::acceptor closed(pair.context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
         return "127.0.0.1:" + std::to_string(closed.local_endpoint().port());
     }();
-    pair.executeAt(nobody, requestOf(1, StatementKind::Write));
+    pair.executeAt(unusedAddress, requestOf(1, StatementKind::Write));
     const StatementReply reply = pair.replyTo(1);
     BOOST_REQUIRE(reply.error);
-    BOOST_TEST(!reply.sent, "nothing was written, so 'sent' has to be false");
-    BOOST_TEST((reply.error->kind == ErrorKind::Moved), nameOfReply(reply));
+    BOOST_TEST(!reply.sent, "nothing was written, so 'sent' must be false");
+    BOOST_TEST((reply.error->kind == ErrorKind::Moved), describeReply(reply));
     pair.await("the report", [&] { return !pair.unreachable.empty(); });
 }
 
-BOOST_AUTO_TEST_CASE(SaysNotRunWhenSomebodyElseAnswersAtTheAddress)
+BOOST_AUTO_TEST_CASE(ReportsNotRunWhenAnotherHostAnswersAtTheAddress)
 {
     Pair pair;
     for (const std::string &greeting :
@@ -260,15 +259,13 @@
         pair.executeAt(stranger.address(), requestOf(id, StatementKind::Write));
         const StatementReply reply = pair.replyTo(id);
         BOOST_REQUIRE(reply.error);
-        BOOST_TEST((!reply.sent && reply.error->kind == ErrorKind::Moved), nameOfReply(reply));
+        BOOST_TEST((!reply.sent && reply.error->kind == ErrorKind::Moved), describeReply(reply));
     }
 }
 
-// Symptom: a charge is made twice.
-// Sequence: the home has received the charge; the link breaks before its
-// answer; the front says "not run"; the caller sends it again.
-// Cause: a lost answer is taken for a request that never ran.
-BOOST_AUTO_TEST_CASE(SaysExactlyWhatALostLinkLeavesUnknown)
+// A request whose answer is lost may have run. If the front reported "not run" when the link
+// breaks before the answer, the caller would send a charge again and it would be made twice.
+BOOST_AUTO_TEST_CASE(ReportsUnknownOutcomeOnlyForRequestsThatMayHaveCommitted)
 {
     struct Row {
         StatementKind kind;
@@ -295,15 +292,15 @@
         BOOST_TEST(reply.sent);
         BOOST_TEST((reply.error->kind == rows[i].expected),
                    "kind " << static_cast<int>(rows[i].kind) << " in transaction " << rows[i].transaction << " gave "
-                           << nameOfReply(reply) << ", expected " << nameOf(rows[i].expected));
+                           << describeReply(reply) << ", expected " << nameOf(rows[i].expected));
     }
-    // The other half of "not run": the home rolls the transactions back.
+    // "Not run" also requires that the home rolls the transactions back.
     pair.await("the home's notice", [&] { return pair.lost.size() == 1; });
-    BOOST_TEST((pair.lost[0] == pair.servedFrom[0]), "the home has to be told of the very link it served");
+    BOOST_TEST((pair.lost[0] == pair.servedFrom[0]), "the home must be notified of the loss of the link that it served");
 }
 
-// Charges a front sends again whenever it is told "not run", against a home whose
-// links break at random moments: how often the worst charge ran.
+// Sends charges, and sends them again after each "not run", to a home whose links break at
+// random times. Returns the maximum number of times that one charge ran.
 std::size_t mostRunsOfOneCharge(bool admitsUnknownOutcomes)
 {
     std::mt19937_64 random(11);
@@ -341,7 +338,7 @@
     BOOST_TEST(most == 1U, "one charge ran " << most << " times");
 }
 
-BOOST_AUTO_TEST_CASE(RunsAChargeTwiceOnceALostAnswerPassesForNotRun)
+BOOST_AUTO_TEST_CASE(RunsAChargeTwiceWhenALostAnswerIsReportedAsNotRun)
 {
     BOOST_TEST(mostRunsOfOneCharge(false) > 1U,
                "a lost answer taken for 'not run' has to double a charge; the proof above is blind");
@@ -361,7 +358,7 @@
         }
         return pair.served.size() == 2;
     });
-    BOOST_TEST((pair.servedFrom[0].link != pair.servedFrom[1].link), "a new link needs a new number");
+    BOOST_TEST((pair.servedFrom[0].link != pair.servedFrom[1].link), "a new link must have a new id");
 }
 
 BOOST_AUTO_TEST_CASE(AnswersAtTheDeadlineAndDropsTheLateAnswer)
@@ -374,8 +371,8 @@
     pair.execute(read);
     pair.execute(write);
     pair.await("both requests", [&] { return pair.served.size() == 2; });
-    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::DeadlineExceeded), nameOfReply(pair.replyTo(1)));
-    BOOST_TEST((pair.replyTo(2).error->kind == ErrorKind::UnknownOutcome), nameOfReply(pair.replyTo(2)));
+    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::DeadlineExceeded), describeReply(pair.replyTo(1)));
+    BOOST_TEST((pair.replyTo(2).error->kind == ErrorKind::UnknownOutcome), describeReply(pair.replyTo(2)));
     pair.await("two cancels", [&] { return pair.homeMessages.size() == 2; });
     pair.answer(0, "late");
     pair.answer(1, "late");
@@ -387,17 +384,15 @@
     BOOST_TEST(pair.replies[2].size() == 1U, "a late answer reached the caller");
 }
 
-// Symptom: a statement that was refused as "not run" is committed.
-// Sequence: a statement of an open transaction outlives its deadline; the front
-// answers "not run"; the caller commits; the home still has the transaction.
-// Cause: the transaction was not ended with the answer.
-BOOST_AUTO_TEST_CASE(EndsTheTransactionOfAStatementThatItGaveUpOn)
+// When a statement of an open transaction exceeds its deadline and the front answers "not run",
+// the transaction must end at the home; otherwise a later COMMIT would commit the statement.
+BOOST_AUTO_TEST_CASE(EndsTheTransactionOfAnAbandonedStatement)
 {
     Pair pair;
     StatementRequest inside = requestOf(1, StatementKind::Write, 77);
     inside.deadline = Clock::now() + milliseconds{60};
     pair.execute(inside);
-    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::DeadlineExceeded), nameOfReply(pair.replyTo(1)));
+    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::DeadlineExceeded), describeReply(pair.replyTo(1)));
     pair.execute(requestOf(2, StatementKind::Commit, 77));
     pair.await("the statement, its rollback and the commit", [&] { return pair.served.size() == 3; });
     const StatementRequest &rollback = pair.served[1].first;
@@ -409,24 +404,22 @@
     BOOST_TEST(pair.replyTo(2).bytes == "refused");
 }
 
-BOOST_AUTO_TEST_CASE(EndsATransactionWhoseBeginWasGivenUp)
+BOOST_AUTO_TEST_CASE(EndsATransactionWhoseBeginWasAbandoned)
 {
     Pair pair;
     pair.execute(requestOf(1, StatementKind::Begin));
     pair.await("the request", [&] { return pair.served.size() == 1; });
     pair.front.cancel("home", 1);
-    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::DeadlineExceeded), nameOfReply(pair.replyTo(1)));
+    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::DeadlineExceeded), describeReply(pair.replyTo(1)));
     pair.answer(0, "begun", 42);
     pair.await("the rollback", [&] { return pair.served.size() == 2; });
     const StatementRequest &rollback = pair.served[1].first;
     BOOST_TEST((rollback.kind == StatementKind::Rollback && rollback.transaction == 42), "transaction 42 would stay open");
 }
 
-// Symptom: a write is reported as "not run" and has been committed.
-// Sequence: within a transaction a caller sends a text that holds a COMMIT of
-// its own; the link breaks before the answer.
-// Cause: statements of open transactions are taken to be rolled back.
-BOOST_AUTO_TEST_CASE(AdmitsThatATextOfSeveralStatementsMayHaveCommitted)
+// Within a transaction, a caller may send a text that contains a COMMIT. When the link breaks
+// before the answer, reporting "not run" would be wrong: the write may have been committed.
+BOOST_AUTO_TEST_CASE(ReportsThatATextOfSeveralStatementsMayHaveCommitted)
 {
     const auto mayHaveCommitted = [](const std::string &batch) {
         StatementRequest request = requestOf(1, StatementKind::Write, 7);
@@ -457,16 +450,15 @@
     BOOST_TEST(pair.served.size() == 3U, "100000 bytes hold three requests of 30000, " << pair.served.size() << " were taken");
     for (const auto &[id, given] : pair.replies) {
         if (!given.empty()) {
-            BOOST_TEST((given[0].error->kind == ErrorKind::Overloaded), nameOfReply(given[0]));
+            BOOST_TEST((given[0].error->kind == ErrorKind::Overloaded), describeReply(given[0]));
             BOOST_TEST(!given[0].sent);
-            BOOST_TEST(given[0].error->retryAfter.count() > 0, "a refusal has to say when to come back");
+            BOOST_TEST(given[0].error->retryAfter.count() > 0, "a refusal must contain a retry delay");
         }
     }
 }
 
-// Symptom: one slow home fills the memory of every front and of itself.
-// Sequence: requests go out faster than the home answers.
-// Cause: nothing bounds what is outstanding on a link.
+// Without a limit on the outstanding bytes of a link, a home that answers more slowly than
+// requests arrive would exhaust its own memory and that of every front.
 BOOST_AUTO_TEST_CASE(KeepsOutstandingBytesWithinTheWindow)
 {
     constexpr std::size_t window = 50000;
@@ -490,24 +482,21 @@
     BOOST_TEST(most <= window / batch + 1, most << " requests were outstanding, the window holds " << window / batch);
 }
 
-// Symptom: callers wait for minutes for a home that froze.
-// Sequence: the home's process stops without closing its sockets.
-// Cause: TCP alone reports nothing while no data has to be acknowledged.
-BOOST_AUTO_TEST_CASE(GivesUpOnAHomeThatFallsSilent)
+// When the process of a home freezes without closing its sockets, TCP alone reports nothing
+// while no data is unacknowledged, and callers would wait for minutes.
+BOOST_AUTO_TEST_CASE(ClosesTheLinkToASilentHome)
 {
     Pair pair;
     RawPeer frozen(pair.context, helloFrame(hop::protocolVersion, "home") + hop::encodeFrame(hop::Credit{1000000}, Clock::now()));
     pair.executeAt(frozen.address(), requestOf(1, StatementKind::Write));
     const StatementReply reply = pair.replyTo(1);
-    BOOST_TEST((reply.sent && reply.error->kind == ErrorKind::UnknownOutcome), nameOfReply(reply));
+    BOOST_TEST((reply.sent && reply.error->kind == ErrorKind::UnknownOutcome), describeReply(reply));
 }
 
-// Symptom: for almost a second after a zone was cut off, reads that could be served elsewhere
-// fail at their deadline.
-// Sequence: a link falls silent; more requests are sent on it until it is given up, then
-// queue up behind an attempt to connect that nobody answers.
-// Cause: a link counted as usable until it was closed, and a dial as about to succeed.
-BOOST_AUTO_TEST_CASE(RefusesAtOnceWhatASilentHomeWouldKeep)
+// After a zone is cut off, requests must not wait on a silent link, or behind a connection
+// attempt that gets no answer. Otherwise, for almost a second, reads that another upstream could
+// serve fail at their deadlines.
+BOOST_AUTO_TEST_CASE(RefusesRequestsToASilentHomeAtOnce)
 {
     Pair pair([](PeerNetworkOptions &options) {
         options.connectTimeout = milliseconds{5000};
@@ -517,7 +506,7 @@
     RawPeer frozen(pair.context, helloFrame(hop::protocolVersion, "home") + hop::encodeFrame(hop::Credit{1000000}, Clock::now()));
     pair.executeAt(frozen.address(), requestOf(1, StatementKind::Write));
     std::uint64_t id = 1;
-    pair.await("a read that is refused while the write is still out", [&] {
+    pair.await("a read that is refused while the write is unanswered", [&] {
         if (pair.replies[id].empty() && id > 1) {
             return false;
         }
@@ -528,12 +517,12 @@
         return false;
     });
     const StatementReply &refusal = pair.replies[id].front();
-    BOOST_TEST((refusal.error && refusal.error->kind == ErrorKind::Moved), nameOfReply(refusal));
-    BOOST_TEST(refusal.error->retryAfter.count() > 0, "a refusal has to say when to come back");
+    BOOST_TEST((refusal.error && refusal.error->kind == ErrorKind::Moved), describeReply(refusal));
+    BOOST_TEST(refusal.error->retryAfter.count() > 0, "a refusal must contain a retry delay");
 }
 
-// The mirror image: a front that froze must not hold a transaction open.
-BOOST_AUTO_TEST_CASE(ReportsAFrontThatFallsSilentWithWorkOpen)
+// Conversely, a front that froze must not keep a transaction open.
+BOOST_AUTO_TEST_CASE(ReportsASilentFrontWithOpenTransactions)
 {
     Pair pair;
     tcp::socket frozen(pair.context);
@@ -547,15 +536,15 @@
     BOOST_TEST(pair.lost[0].host == "frozen");
 }
 
-// Guards against a configuration that is told over a dead connection for seconds.
-BOOST_AUTO_TEST_CASE(GivesUpOnASilentLinkThatCarriesOnlyMessages)
+// A configuration must not be sent over a dead connection for seconds.
+BOOST_AUTO_TEST_CASE(ClosesASilentLinkThatCarriesOnlyMessages)
 {
     Pair pair;
     RawPeer silent(pair.context, helloFrame(hop::protocolVersion, "home"));
     pair.front.send("home", silent.address(), hop::ConfigOffer{3});
     pair.await("the link", [&] { return pair.front.linkCount() == 1; });
     pair.await("the end of the link", [&] { return pair.front.linkCount() == 0; });
-    pair.await("membership's look at the host", [&] { return pair.unreachable.size() == 1; });
+    pair.await("the report of the unreachable host", [&] { return pair.unreachable.size() == 1; });
     pair.front.send("home", silent.address(), hop::ConfigOffer{4});
     pair.await("another link", [&] {
         pair.front.send("home", silent.address(), hop::ConfigOffer{4});
@@ -563,8 +552,8 @@
     });
 }
 
-// Guards against a configuration that is told over a dead connection that the other host opened.
-BOOST_AUTO_TEST_CASE(GivesUpOnASilentLinkThatThePeerDialled)
+// A configuration must not be sent over a dead connection that the other host opened.
+BOOST_AUTO_TEST_CASE(ClosesASilentLinkThatThePeerDialed)
 {
     Pair pair;
     tcp::socket silent(pair.context);
@@ -577,8 +566,8 @@
     pair.await("the end of the link", [&] { return pair.home.linkCount() == 0; });
 }
 
-// Guards against news that each link of a host loses in turn after all of them went silent together.
-BOOST_AUTO_TEST_CASE(LooksAtItsOtherLinksWhenOneIsSilent)
+// When all links of a host become silent together, each of them must not lose messages in turn.
+BOOST_AUTO_TEST_CASE(ProbesItsOtherLinksWhenOneIsSilent)
 {
     Pair pair([](PeerNetworkOptions &options) {
         options.pingInterval = milliseconds{400};
@@ -590,34 +579,34 @@
     boost::asio::write(*idle.sockets.front(), boost::asio::buffer(hop::encodeFrame(hop::ConfigOffer{1}, Clock::now())));
     const TimePoint quietEnd = Clock::now() + milliseconds{2500};
     pair.await("some quiet time", [&] { return Clock::now() >= quietEnd; });
-    BOOST_TEST_REQUIRE(pair.front.linkCount() == 1U, "nothing was due on a link whose peer had spoken last");
+    BOOST_TEST_REQUIRE(pair.front.linkCount() == 1U, "a link without data sent since the last byte received needs no probe");
     RawPeer silent(pair.context, helloFrame(hop::protocolVersion, "silent"));
     pair.front.send("silent", silent.address(), hop::ConfigOffer{2});
     pair.await("the end of both links", [&] { return silent.sockets.size() == 1 && pair.front.linkCount() == 0; });
 }
 
-// Guards against an answer that goes over the dead connection which its asker has given up.
-BOOST_AUTO_TEST_CASE(AnswersAPeerOverTheLinkThatItUsesNow)
+// An answer must not be sent over a dead connection that the requesting host has abandoned.
+BOOST_AUTO_TEST_CASE(AnswersAPeerOverItsCurrentLink)
 {
     Pair pair;
-    const auto dialled = [&pair] {
+    const auto dialHome = [&pair] {
         tcp::socket socket(pair.context);
         socket.connect(tcp::endpoint(boost::asio::ip::address_v4::loopback(), pair.home.port()));
         boost::asio::write(socket, boost::asio::buffer(helloFrame(hop::protocolVersion, "asker")));
         return socket;
     };
-    tcp::socket givenUp = dialled();
-    pair.await("the first hello", [&] { return givenUp.available() > 0; });
-    tcp::socket used = dialled();
+    tcp::socket abandoned = dialHome();
+    pair.await("the first hello", [&] { return abandoned.available() > 0; });
+    tcp::socket used = dialHome();
     pair.await("the second hello", [&] { return used.available() > 0; });
     const std::size_t greeting = used.available();
     boost::asio::write(used, boost::asio::buffer(hop::encodeFrame(hop::ConfigPull{}, Clock::now())));
-    pair.await("the question", [&] { return pair.homeMessages.size() == 1; });
+    pair.await("the request for the configuration", [&] { return pair.homeMessages.size() == 1; });
     pair.home.send("asker", "127.0.0.1:1", hop::ConfigOffer{3});
     pair.await("the answer", [&] { return used.available() > greeting; });
 }
 
-// Guards against links that are closed although the other side answers.
+// A link must not be closed while the other side answers.
 BOOST_AUTO_TEST_CASE(KeepsALinkThatCarriesOnlyMessagesWhileThePeerAnswers)
 {
     Pair pair;
@@ -629,10 +618,10 @@
         pair.home.send("front", "127.0.0.1:1", hop::ConfigOffer{version});
     }
     BOOST_TEST(pair.front.linkCount() == 1U);
-    BOOST_TEST((pair.unreachable.empty() && pair.lost.empty()), "a link was given up although its peer answered");
+    BOOST_TEST((pair.unreachable.empty() && pair.lost.empty()), "a link was closed although its peer answered");
 }
 
-BOOST_AUTO_TEST_CASE(ClosesIdleLinksWithoutAlarm)
+BOOST_AUTO_TEST_CASE(ClosesIdleLinksWithoutReportingAFailure)
 {
     Pair pair([](PeerNetworkOptions &options) { options.idleTimeout = milliseconds{100}; });
     pair.execute(requestOf(1, StatementKind::Read));
@@ -642,7 +631,7 @@
     pair.await("the end of the link", [&] { return pair.front.linkCount() == 0; });
     pair.execute(requestOf(2, StatementKind::Read));
     pair.await("the next request", [&] { return pair.served.size() == 2; });
-    BOOST_TEST(pair.unreachable.empty(), "an idle link that was closed on purpose is no fault");
+    BOOST_TEST(pair.unreachable.empty(), "an idle link that was closed on purpose is not a failure");
 }
 
 BOOST_AUTO_TEST_CASE(CarriesMessagesBothWaysOverOneLink)
@@ -678,23 +667,23 @@
     pair.execute(requestOf(2, StatementKind::Write));
     pair.front.stop();
     pair.execute(requestOf(3, StatementKind::Write));
-    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::UnknownOutcome), nameOfReply(pair.replyTo(1)));
-    BOOST_TEST((pair.replyTo(2).error->kind == ErrorKind::Moved), nameOfReply(pair.replyTo(2)));
-    BOOST_TEST((pair.replyTo(3).error->kind == ErrorKind::Leaving), nameOfReply(pair.replyTo(3)));
+    BOOST_TEST((pair.replyTo(1).error->kind == ErrorKind::UnknownOutcome), describeReply(pair.replyTo(1)));
+    BOOST_TEST((pair.replyTo(2).error->kind == ErrorKind::Moved), describeReply(pair.replyTo(2)));
+    BOOST_TEST((pair.replyTo(3).error->kind == ErrorKind::Leaving), describeReply(pair.replyTo(3)));
     pair.await("the home's notice", [&] { return pair.lost.size() == 1; });
     pair.answer(0, "too late");
 }
 
-// Requests, answers, losses and deadlines in random order: each request gets
-// exactly one answer, and what was refused as unsent never arrives.
+// Requests, answers, link losses and deadlines in random order: each request gets exactly one
+// answer, and a request that was refused as unsent never reaches the home.
 BOOST_AUTO_TEST_CASE(GivesExactlyOneAnswerWhateverHappens)
 {
     std::mt19937_64 random(20261202);
     Pair pair;
     std::uint64_t id = 0;
     std::size_t answered = 0;
-    // One is answered before the first loss: a slow machine may see no link again for
-    // the rest of the schedule.
+    // One request is answered before the first loss: on a slow machine there may be no open link
+    // for the rest of the schedule.
     pair.execute(requestOf(++id, StatementKind::Write));
     pair.await("the first request", [&] { return !pair.served.empty(); });
     pair.answer(answered++, "done");
@@ -741,7 +730,7 @@
         (!error ? done : outcomeOf(error->kind) == Outcome::Unknown ? unknown : notRun) += 1;
     }
     BOOST_TEST_MESSAGE(done << " answered, " << unknown << " unknown, " << notRun << " not run");
-    // Without each of these outcomes the claim was not put to the test.
+    // Each of these outcomes must occur, or the test has not covered the claim.
     BOOST_TEST(done > 0U);
     BOOST_TEST(unknown > 0U);
     BOOST_TEST(notRun > 0U);
--- a/tests/runtime/postedwork_test.cpp
+++ b/tests/runtime/postedwork_test.cpp
@@ -1,4 +1,4 @@
-// What is left in contexts after their threads have ended.
+// Handlers that remain in contexts after their threads have ended.
 
 #define BOOST_TEST_MODULE PostedWork
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
 namespace
 {
 
-// A part that belongs to one context, as an observer does to the control thread.
+// An object that belongs to one context, as an observer does to the control thread.
 struct Part {
     explicit Part(asio::io_context &context) : timer(context)
     {
@@ -30,13 +30,11 @@
 
 BOOST_AUTO_TEST_SUITE(PostedWork)
 
-// Symptom: a host ends by a signal at its very end, rarely (seen by the address sanitizer:
-// a timer is destroyed after its context).
-// Sequence: the host stops while an observer tells the homes of a change: the control
-// context, run after the traffic contexts, posts to them once more.
-// Cause: that work was destroyed with the traffic context, held the last reference to
-// the observer, and so destroyed a timer of the control context, which was gone.
-BOOST_AUTO_TEST_CASE(RunsAlsoWhatOtherContextsPostMeanwhile)
+// The control context, run after the traffic contexts, posts to them once more when an observer
+// notifies the homes during a stop. If that handler does not run, it is destroyed with its traffic
+// context, and with it the last reference to the observer, whose timer belongs to the control
+// context that is already destroyed: the process crashes at its end (seen by the address sanitizer).
+BOOST_AUTO_TEST_CASE(RunsHandlersThatOtherContextsPostMeanwhile)
 {
     auto traffic = std::make_unique<asio::io_context>(1);
     auto control = std::make_unique<asio::io_context>(1);
@@ -49,14 +47,13 @@
     traffic->stop();
     control->stop();
     BOOST_TEST(finishPosted({traffic.get(), control.get()}) == 3U);
-    BOOST_TEST(observed.expired(), "work that nobody will run any more still holds a part of another context");
+    BOOST_TEST(observed.expired(), "a handler that will never run still holds an object of another context");
     control.reset();
     traffic.reset();
 }
 
-// Symptom: a stop never ends.
-// Sequence: a handler posts itself again each time, as a timer does that is always due.
-// Cause: run until nothing is left.
+// A handler that always posts itself again, like a timer that is always due, must not keep a stop
+// from completing.
 BOOST_AUTO_TEST_CASE(EndsAlthoughAHandlerAlwaysPostsAgain)
 {
     asio::io_context context(1);
--- a/tests/runtime/quotadesk_test.cpp
+++ b/tests/runtime/quotadesk_test.cpp
@@ -1,4 +1,4 @@
-// Requests that are counted at another host: answers, refusals, silence.
+// Requests that another host counts: grants, refusals and keepers that do not answer.
 
 #define BOOST_TEST_MODULE QuotaDesk
 #include <boost/test/unit_test.hpp>
@@ -19,7 +19,7 @@
 namespace
 {
 
-// A desk of the host "self" whose keeper is what the test says; what it sends is kept.
+// A quota service of the host "self" with a configurable keeper; records the messages it sends.
 struct Desk {
     Desk()
         : desk(context, "self", QuotaKeeperOptions{},
@@ -41,9 +41,9 @@
         desk.keep(std::bitset<quotaSlots>().set(), 1);
     }
 
-    void admit(const std::string &workspace, milliseconds patience = milliseconds{10000})
+    void admit(const std::string &workspace, milliseconds timeout = milliseconds{10000})
     {
-        desk.admit(workspace, Clock::now() + patience, [this](tl::expected<void, Error> result) {
+        desk.admit(workspace, Clock::now() + timeout, [this](tl::expected<void, Error> result) {
             results.push_back(result ? std::nullopt : std::optional(result.error().kind));
         });
     }
@@ -61,7 +61,7 @@
     boost::asio::io_context context;
     std::string keeper = "self";
     std::vector<std::pair<std::string, hop::QuotaAsk>> asked;
-    // The kind of each error; nothing for what may start.
+    // The kind of each error; nothing for a request that may start.
     std::vector<std::optional<ErrorKind>> results;
     QuotaDesk desk;
 };
@@ -72,7 +72,7 @@
 
 BOOST_AUTO_TEST_SUITE(QuotaDesks)
 
-BOOST_AUTO_TEST_CASE(AnswerAtOnceWhatIsKeptHereOrHasNoQuota)
+BOOST_AUTO_TEST_CASE(AnswerAtOnceForLocalSlotsAndWorkspacesWithoutQuota)
 {
     Desk desk;
     desk.admit("limited");
@@ -83,7 +83,7 @@
     BOOST_TEST(desk.asked.empty());
 }
 
-BOOST_AUTO_TEST_CASE(TellWhatTheKeeperSays)
+BOOST_AUTO_TEST_CASE(ReportTheVerdictOfTheKeeper)
 {
     Desk desk;
     desk.keeper = "other";
@@ -94,14 +94,14 @@
     BOOST_TEST(desk.results.empty());
     desk.desk.onReply({desk.asked[0].second.id, calmGrant});
     desk.desk.onReply({desk.asked[1].second.id, {QuotaVerdict::Kind::Refused, milliseconds{70}, false}});
-    // A second answer to the same question changes nothing.
+    // A second answer to the same message has no effect.
     desk.desk.onReply({desk.asked[1].second.id, calmGrant});
     BOOST_TEST_REQUIRE(desk.results.size() == 2U);
     BOOST_TEST(!desk.results[0].has_value());
     BOOST_TEST((desk.results[1] == ErrorKind::QuotaExceeded));
 }
 
-BOOST_AUTO_TEST_CASE(StartWhatIsGrantedForLaterThen)
+BOOST_AUTO_TEST_CASE(StartARequestAtTheTimeItIsGrantedFor)
 {
     Desk desk;
     desk.keeper = "other";
@@ -124,7 +124,7 @@
     BOOST_TEST(desk.results.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RefuseTrulyWhatNobodyCounts)
+BOOST_AUTO_TEST_CASE(RefuseAsNotRunWhenNoKeeperAnswers)
 {
     Desk desk;
     desk.keeper = "dead";
@@ -134,12 +134,11 @@
     BOOST_TEST((outcomeOf(*desk.results[0]) == Outcome::NotRun));
 }
 
-BOOST_AUTO_TEST_CASE(BridgeTheSilenceOfAKeeperForCalmWorkspaces)
+BOOST_AUTO_TEST_CASE(GrantCalmWorkspacesTheirGraceWhileTheKeeperIsSilent)
 {
-    // Symptom: for a second or two after a cut everybody is refused whose keeper is on the
-    // other side.
-    // Sequence: a keeper grants, says that the workspace is calm, and falls silent.
-    // Cause: every request waited for an answer that could not come.
+    // After a network partition, requests whose keeper is on the other side must not wait for an
+    // answer and be refused for a second or two when the keeper had last reported the workspace
+    // as calm.
     Desk desk;
     desk.keeper = "other";
     for (int i = 0; i < 2; ++i) {
--- a/tests/runtime/settings_test.cpp
+++ b/tests/runtime/settings_test.cpp
@@ -1,4 +1,4 @@
-// A host's settings file: complete reports of what is wrong with it.
+// The settings file of a host: defaults, complete error reports and changes while a host runs.
 
 #define BOOST_TEST_MODULE Settings
 #include <boost/test/unit_test.hpp>
@@ -55,13 +55,13 @@
     document["logLevel"] = "loud";
     document["peerAdress"] = "127.0.0.1:1";
     const auto settings = parseSettings(document.dump());
-    BOOST_TEST_REQUIRE(!settings.has_value(), "a faulty file was accepted");
+    BOOST_TEST_REQUIRE(!settings.has_value(), "an invalid file was accepted");
     for (const char *fault : {"trafficThreads", "logLevel", "peerAdress"}) {
         BOOST_TEST(anyMentions(settings.error(), fault), "no fault names " << fault << "; all must be reported at once");
     }
 }
 
-BOOST_AUTO_TEST_CASE(TakesThePauseBetweenLooksWithinItsBounds)
+BOOST_AUTO_TEST_CASE(AcceptsTheIdleProbeIntervalWithinItsBounds)
 {
     auto document = validSettings();
     document["idleProbeMs"] = 1000;
@@ -69,10 +69,10 @@
     BOOST_TEST_REQUIRE(settings.has_value());
     BOOST_TEST(settings->idleProbe.count() == 1000);
     document["idleProbeMs"] = 0;
-    BOOST_TEST(!parseSettings(document.dump()).has_value(), "a pause of 0 ms would never end");
+    BOOST_TEST(!parseSettings(document.dump()).has_value(), "an interval of 0 ms would probe without pause");
 }
 
-BOOST_AUTO_TEST_CASE(RefusesWhatIsNoJson)
+BOOST_AUTO_TEST_CASE(RefusesInvalidJson)
 {
     BOOST_TEST(!parseSettings("{\"host\": ").has_value());
     BOOST_TEST(!parseSettings("").has_value());
@@ -93,7 +93,7 @@
 
 BOOST_AUTO_TEST_SUITE(ChangedSettings)
 
-BOOST_AUTO_TEST_CASE(AreToldApartByWhetherTheyNeedARestart)
+BOOST_AUTO_TEST_CASE(AreSeparatedByWhetherTheyNeedARestart)
 {
     const Settings running = parseSettings(validSettings().dump()).value();
     Settings next = running;
@@ -105,7 +105,7 @@
     BOOST_TEST(difference.needRestart == std::vector<std::string>{"callerAddress"}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(ThatNeedARestartLeaveTheRunningOnesAlone)
+BOOST_AUTO_TEST_CASE(ThatNeedARestartAreNotApplied)
 {
     Settings running = parseSettings(validSettings().dump()).value();
     Settings next = running;
@@ -129,7 +129,7 @@
     for (const std::string_view name : Mechanisms::names()) {
         document["mechanismsOff"] = {name};
         const auto settings = parseSettings(document.dump());
-        BOOST_TEST_REQUIRE(settings.has_value(), "the schema does not know " << name);
+        BOOST_TEST_REQUIRE(settings.has_value(), "the schema does not contain " << name);
         BOOST_TEST(Mechanisms(settings->mechanismsOff).isOff(name));
     }
     document["mechanismsOff"] = {"everything"};
