--- a/bench/detection_curve.cpp
+++ b/bench/detection_curve.cpp
@@ -233,8 +233,8 @@
     options.lossOneIn = 0;
     options.duplicateOneIn = 0;
     options.delayOneIn = 0;
-    options.ambushFenceOneIn = 0;
-    options.ambushPromotionOneIn = 0;
+    options.fencePauseOneIn = 0;
+    options.promotionFaultOneIn = 0;
     options.writesAtHomeOnly = true;
     options.writeSpacing = std::chrono::microseconds(1000); // as often as the model allows: every 5 ms
     options.faultSpan = std::chrono::seconds(4);
--- a/include/egrettide/core/configuration.h
+++ b/include/egrettide/core/configuration.h
@@ -123,7 +123,7 @@
     // The class to which its statements belong.
     std::string className;
     // True to serve callers whose key belongs to no tenant; by default they are refused.
-    bool admitsUnknownKeys = false;
+    bool allowsUnknownKeys = false;
 };
 
 struct Configuration {
@@ -136,7 +136,7 @@
     std::vector<ClassSpec> classes;
     std::vector<TenantSpec> tenants;
     // True if callers of routes have to present the key of a tenant.
-    bool asksForKeys = false;
+    bool requiresKeys = false;
     std::vector<RouteSpec> routes;
     // How long a transaction may be idle before it is rolled back; unset: the value in the
     // host's settings.
--- a/include/egrettide/core/configurationstate.h
+++ b/include/egrettide/core/configurationstate.h
@@ -41,7 +41,7 @@
     OfferResult offer(Configuration configuration);
 
     // Records that `version` exists, for example because a peer's heartbeat reports it.
-    void heardOf(std::uint64_t version);
+    void noteKnownVersion(std::uint64_t version);
 
     // The configuration in force; null while there is none. The object is immutable and is
     // replaced by a new one when the configuration changes.
@@ -51,7 +51,7 @@
     std::uint64_t version() const;
 
     // The newest version known to exist; at least version().
-    std::uint64_t newestHeard() const;
+    std::uint64_t newestKnownVersion() const;
 
     // True if a newer version is known to exist and has to be fetched.
     bool isBehind() const;
--- a/include/egrettide/core/connectionbudget.h
+++ b/include/egrettide/core/connectionbudget.h
@@ -134,13 +134,13 @@
     // When connections above the allowance must be closed even if they are busy; a time
     // in the past if there should be none. A refusal by the upstream does not bring this
     // forward, so it ends no running statement.
-    TimePoint shedsBy(TimePoint now) const;
+    TimePoint shedDeadline(TimePoint now) const;
     // How many connections to keep open, so that requests need not wait for one to be
     // opened; never above allowance().
     int target(TimePoint now) const;
     // How many transactions may be open at once so that statements outside of
     // transactions still find a connection: the allowance less the slots, at least one.
-    int transactionPlaces(int slots, TimePoint now) const;
+    int transactionLimit(int slots, TimePoint now) const;
     // The allowance of a settled home, in connections.
     int settledConnections() const;
     // The allowance of a home that is not settled, in connections.
--- a/include/egrettide/core/connectionplan.h
+++ b/include/egrettide/core/connectionplan.h
@@ -74,7 +74,7 @@
     explicit ConnectionPlan(ConnectionPlanOptions options);
 
     // Records a request of an owner.
-    void asked(std::string_view owner, TimePoint now);
+    void noteRequest(std::string_view owner, TimePoint now);
     // The smoothed request rate of an owner, in requests a second.
     double rateOf(std::string_view owner, TimePoint now) const;
 
--- a/include/egrettide/core/groupmonitor.h
+++ b/include/egrettide/core/groupmonitor.h
@@ -50,7 +50,7 @@
     // The interval between rounds while no request waits for one.
     milliseconds idleInterval{50};
     // The interval for `urgentSpan` after the primary changed or was lost.
-    milliseconds hurryInterval{10};
+    milliseconds urgentInterval{10};
     milliseconds urgentSpan{2000};
     // The maximum number of outstanding probes at one member. A member at the limit is left
     // out of rounds, so a silent member costs a bounded number of requests and delays no
@@ -60,20 +60,20 @@
     milliseconds watermarkSpan{10'000};
     // How long a group may be without a primary before it is suspected: a promotion may be
     // running.
-    milliseconds noPrimaryPatience{400};
+    milliseconds noPrimaryTimeout{400};
     // How long promises may be split before the primary is suspected: orders to follow may
     // be on their way.
-    milliseconds splitPatience{1000};
+    milliseconds splitPromisesTimeout{1000};
     FailureDetectorOptions detector;
     // True when a replaced primary detects its own replacement, so that its own answer
     // proves that it leads. Marks of a replaced primary may then name entries that the
     // group has discarded, so its watermarks are dropped with it.
-    bool leaderProvesItself = false;
+    bool primaryProvesItself = false;
     // If the primary proves itself, no majority has to answer, and a round only probes
     // members without a recent answer: ordinary answers carry the same information as a
     // status. This reduces 54 status calls per second of a small idle deployment (three
     // databases with three members each) to 5.
-    bool asksOnlySilent = false;
+    bool probesOnlySilent = false;
     // The interval between rounds that search for a primary while only silent members are
     // probed, independent of waiting requests: used for urgentSpan after the primary was
     // lost, and the idle interval after that. Without it, the observers in a zone that is
@@ -163,7 +163,7 @@
     // A request to a member was reset or refused: the next round is due immediately, so
     // that the loss of an upstream under load is detected before the next idle round.
     // Raises no suspicion by itself.
-    void onTrouble(TimePoint now);
+    void onRequestFailed(TimePoint now);
     // Ends probes that have timed out. Must be called at least whenever a round begins.
     void onTimer(TimePoint now);
     // This process or its clock was suspended: nothing is confirmed and no age is known
@@ -220,7 +220,7 @@
         Position rateSample = 0;
         bool reachable = false;
         // See MemberView. Never becomes false again.
-        bool judged = false;
+        bool reachabilityKnown = false;
     };
 
     struct Round {
@@ -242,7 +242,7 @@
     TimePoint dueAt(const Member &member, TimePoint now) const;
     bool isAsked(const Member &member, RoundScope scope, TimePoint now) const;
     TimePoint nextSearchAt(TimePoint now) const;
-    bool isHurried(TimePoint now) const;
+    bool isUrgent(TimePoint now) const;
     bool endProbe(Member &member, RoundId round);
     void finishProbe(RoundId id);
     void expire(Member &member, TimePoint now);
--- a/include/egrettide/core/joingate.h
+++ b/include/egrettide/core/joingate.h
@@ -23,7 +23,7 @@
 struct JoinOptions {
     // Longest delay after the start: twice the two heartbeats within which a starting host receives
     // messages from the others.
-    milliseconds bound{1500};
+    milliseconds maxDelay{1500};
     // Time without a change of the zone's hosts after which the host joins. Of seven hosts that
     // started within 0.2 s, each discovered the last of the others at most 0.25 s after the one
     // before.
--- a/include/egrettide/core/linkprobe.h
+++ b/include/egrettide/core/linkprobe.h
@@ -23,7 +23,7 @@
     // may queue behind bulk data on a slow link, and no request waits for it.
     milliseconds messageInterval{250};
     // Consecutive probes without a received byte after which the connection is given up.
-    int mostMissed = 3;
+    int maxMissedProbes = 3;
 };
 
 enum class LinkProbeStep { Wait, Ping, GiveUp };
@@ -35,7 +35,7 @@
 
     // Marks the connection as unproven: a message was sent that needs no answer on this connection,
     // or the caller has another reason to doubt that data arrives.
-    void doubt(TimePoint now);
+    void markUnproven(TimePoint now);
     // Returns the step that is due. `lastReceivedAt` is when the last byte arrived;
     // `awaitingAnswer` is true while a request waits for an answer over this connection. On Ping
     // the caller sends a probe, which the other side answers.
@@ -43,7 +43,7 @@
     // Whether no byte has arrived since the connection was last marked as unproven.
     bool isUnproven(TimePoint lastReceivedAt) const;
     // Whether at least one probe is overdue without a received byte.
-    bool isSilent() const;
+    bool hasMissedProbe() const;
 
 private:
     const LinkProbeOptions m_options;
--- a/include/egrettide/core/membership.h
+++ b/include/egrettide/core/membership.h
@@ -149,14 +149,14 @@
     std::size_t recordsPerSync = 256;
     // How long a dead host is retained, so that outdated records cannot revive it and its address
     // is still tried after a partition heals.
-    std::chrono::minutes remembersDead{60};
+    std::chrono::minutes deadRetention{60};
     // A longer gap between two ticks means that this process was paused.
     milliseconds pauseThreshold{1500};
     // Safeguards; switched off only in tests that show the failure without them.
     bool confirmsIndirectly = true;
     bool refutes = true;
-    bool remembersIncarnations = true;
-    bool checksHearsay = true;
+    bool keepsIncarnations = true;
+    bool verifiesDeathReports = true;
 };
 
 // The fleet as one host sees it. Immutable and shared between threads.
@@ -220,7 +220,7 @@
     HostReach reach(TimePoint now) const;
     // True once every host of this host's zone on the platform's list is known and not dead. False
     // before the first list.
-    bool hasMetZone() const;
+    bool hasDiscoveredZone() const;
 
 private:
     class State;
--- a/include/egrettide/core/partitiondetector.h
+++ b/include/egrettide/core/partitiondetector.h
@@ -46,10 +46,10 @@
     // How long the store may take to answer before this host reports not ready. The store answers
     // in 4 ms, and in 0.25 s when it is slow; a later answer still counts and makes the host ready
     // again.
-    milliseconds storePatience{150};
+    milliseconds storeAnswerTimeout{150};
     // Timeout of a store query, and interval between queries while a partition is suspected or
     // lasts. The platform accounts for each query.
-    milliseconds askAgain{1000};
+    milliseconds storeQueryInterval{1000};
     // How long the balancer takes to route new callers elsewhere.
     milliseconds balancerNotice{0};
     // Consecutive not-ready answers after which the balancer routes callers elsewhere; 0 when
@@ -78,16 +78,16 @@
     // The store has answered a query, or has not within the query timeout.
     void onStoreAnswer(bool answered, TimePoint now);
     // The balancer has received this host's readiness.
-    void onReadinessTold(bool ready, TimePoint now);
+    void onReadinessReported(bool ready, TimePoint now);
     // Performs the work that is due at `now`. Must be called at nextEventAt() or sooner.
     void onTimer(TimePoint now);
 
     // When the state changes without another event; max() for never.
     TimePoint nextEventAt() const;
     // Returns true once for each store query that is due.
-    bool asksStore(TimePoint now);
+    bool shouldQueryStore(TimePoint now);
     // Returns true each time the currently open sessions should be moved elsewhere.
-    bool movesCallers(TimePoint now);
+    bool shouldMoveCallers(TimePoint now);
 
     // True while the other hosts look as if this host were cut off, whatever the store answers.
     bool isSuspected() const;
--- a/include/egrettide/core/promoter.h
+++ b/include/egrettide/core/promoter.h
@@ -199,7 +199,7 @@
     milliseconds opinionTimeout{300};
     // How long the primary's own home has to suspect it before it may act although the
     // other homes still reach the primary: writes go through that home only.
-    milliseconds loneHomePatience{1500};
+    milliseconds loneHomeDelay{1500};
     milliseconds claimTimeout{200};
     milliseconds fenceTimeout{500};
     milliseconds promoteTimeout{300};
@@ -216,7 +216,7 @@
     // The same for a planned change, to include its successor.
     milliseconds successorGrace{100};
     // How long an unchanged claim of another promoter is respected.
-    milliseconds claimPatience{1000};
+    milliseconds foreignClaimTimeout{1000};
     // Backoff after a failed attempt. It doubles from floor to ceiling, and the delay is
     // drawn at random from its upper half, so that competing promoters do not retry at the
     // same time.
@@ -230,7 +230,7 @@
     milliseconds followInterval{200};
     // How long a member may keep a promise above the primary's term, left by an aborted
     // promotion, before the term is renewed.
-    milliseconds strandedPatience{2000};
+    milliseconds strandedTimeout{2000};
     PromoterFaults faults;
 };
 
@@ -298,7 +298,7 @@
     bool needsRenewal() const;
     // True while an order to promote is outstanding, whose completion is visible only in
     // the state of the group.
-    bool awaitsGroup() const;
+    bool awaitsPromotion() const;
     // The members that have promised the running attempt's term, with the status that they
     // reported.
     const std::map<std::string, MemberStatus> &promises() const;
--- a/include/egrettide/core/quotabackoff.h
+++ b/include/egrettide/core/quotabackoff.h
@@ -32,10 +32,10 @@
     explicit QuotaBackoff(QuotaBackoffOptions options = {});
 
     // The keeper has refused a request; `after` is when the next one would be granted.
-    void refused(const std::string &workspace, milliseconds after, TimePoint now);
+    void onRefused(const std::string &workspace, milliseconds after, TimePoint now);
     // Returns the delay before a retry when the next request is refused locally, without asking the
     // keeper; nullopt when the keeper is to be asked.
-    std::optional<milliseconds> refusesHere(const std::string &workspace, TimePoint now);
+    std::optional<milliseconds> localRefusal(const std::string &workspace, TimePoint now);
 
 private:
     struct Throttle {
--- a/include/egrettide/core/quotagrace.h
+++ b/include/egrettide/core/quotagrace.h
@@ -29,12 +29,12 @@
     explicit QuotaGrace(milliseconds window);
 
     // A keeper has answered for the workspace.
-    void heard(const std::string &workspace, const QuotaVerdict &verdict, TimePoint now);
+    void onVerdict(const std::string &workspace, const QuotaVerdict &verdict, TimePoint now);
     // A keeper did not answer in time. It counts as silent until its next answer.
-    void unanswered(const std::string &workspace, TimePoint now);
+    void onKeeperTimeout(const std::string &workspace, TimePoint now);
     // Consumes one request that may start without an answer. Returns false when none remains or the
     // keeper is not silent.
-    bool take(const std::string &workspace);
+    bool tryStart(const std::string &workspace);
 
 private:
     struct History {
--- a/include/egrettide/core/quotakeeper.h
+++ b/include/egrettide/core/quotakeeper.h
@@ -39,7 +39,7 @@
 
 // The fraction of the fleet in this view, between 0 and 1: hosts that are not dead, divided by all
 // known hosts that did not leave in an orderly way.
-double partInView(const MembershipView &view);
+double visibleFraction(const MembershipView &view);
 
 // The bound that a quota guarantees: in any `window` at most
 // (perSecond * window + burst) * (1 + overage) + slack requests.
@@ -105,7 +105,7 @@
     void configure(const Configuration &configuration);
     // Applies the slots that this host keeps and the fraction of the fleet in its partition. Counts
     // of newly kept slots start with the initial allowance.
-    void keep(const std::bitset<quotaSlots> &slots, double visibleFraction, TimePoint now);
+    void setKeptSlots(const std::bitset<quotaSlots> &slots, double visibleFraction, TimePoint now);
 
     // Whether requests of the workspace are counted at all.
     bool isLimited(std::string_view workspace) const;
--- a/include/egrettide/core/readerduty.h
+++ b/include/egrettide/core/readerselection.h
@@ -13,7 +13,7 @@
 namespace egrettide
 {
 
-struct ReaderDutyOptions {
+struct ReaderSelectionOptions {
     // The maximum number of hosts of one zone that read at the same time. It bounds the
     // futile calls while the store is down; if the store refuses single hosts, it is unlikely
     // that all three are among them.
@@ -24,7 +24,7 @@
     // The interval at which such a reader repeats the hand-over.
     milliseconds handOverInterval{1000};
     // Disables the selection: every host reads the store itself.
-    bool everybodyReads = false;
+    bool allHostsRead = false;
 };
 
 // Makes the decision for one host. All hosts of a zone use the same order of candidates; the
@@ -33,31 +33,31 @@
 // configuration does not come into force; in doubt, one more host reads.
 //
 // Pure: the time is passed in. Not thread-safe.
-class ReaderDuty
+class ReaderSelection
 {
 public:
-    explicit ReaderDuty(std::string self, ReaderDutyOptions options = {});
+    explicit ReaderSelection(std::string self, ReaderSelectionOptions options = {});
 
     // Sets the hosts of the zone that are not leaving, in order of preference. Until the first
     // call the host is not a reader; it reads no more than its initial copy.
     void onCandidates(std::vector<std::string> candidates);
     // Records whether the store answers this host.
-    void onReach(bool reachable);
+    void onStoreReachable(bool reachable);
     // Records that the preceding candidate reported that it does not reach the store.
     void onHandOver(TimePoint now);
 
     // True while this host is a reader, which has to watch the store for changes.
-    bool reads(TimePoint now) const;
+    bool isReader(TimePoint now) const;
     // The host to which this reader has to send a hand-over at `now`, because it does not
     // reach the store; nothing if none is due.
-    std::optional<std::string> handsOverTo(TimePoint now);
+    std::optional<std::string> handOverTarget(TimePoint now);
 
 private:
     // The host's index among the candidates; nothing if it is leaving and so not among them.
     std::optional<std::size_t> rank() const;
 
     const std::string m_self;
-    const ReaderDutyOptions m_options;
+    const ReaderSelectionOptions m_options;
     std::vector<std::string> m_candidates;
     bool m_candidatesKnown = false;
     bool m_storeReachable = true;
--- a/include/egrettide/core/request.h
+++ b/include/egrettide/core/request.h
@@ -110,7 +110,7 @@
     int attempts = 0;
     // The target and result of each attempt, as in RouteAttempts::history(); set by the
     // front only, for its logs.
-    std::string tried;
+    std::string attemptHistory;
 };
 
 using ReplyHandler = std::function<void(StatementReply)>;
--- a/include/egrettide/core/logstory.h
+++ b/include/egrettide/core/requesttrace.h
@@ -27,22 +27,22 @@
 };
 
 // Collects log lines in any order and describes what happened to one request.
-class LogStory
+class RequestTrace
 {
 public:
     // `requestId` is the id that the caller received.
-    explicit LogStory(std::string requestId);
+    explicit RequestTrace(std::string requestId);
 
     // Adds one line. Text before the first brace, such as a log collector's timestamp, is
     // ignored. A line that is not a log line is counted and skipped.
-    void take(std::string_view line);
+    void addLine(std::string_view line);
 
     // True if a line about the request was added.
     bool found() const;
     // The number of lines that could not be parsed.
     std::size_t skipped() const;
     // Returns one paragraph for each line about the request, in order of time.
-    std::string tell() const;
+    std::string describe() const;
 
 private:
     std::string describeLine(const LogLine &line) const;
--- a/include/egrettide/core/retrybudget.h
+++ b/include/egrettide/core/retrybudget.h
@@ -36,7 +36,7 @@
     void onRequest(std::string_view database);
     // Consumes one retry of the budget. Returns false if there is none; the request must
     // then get its final answer.
-    bool mayRetry(std::string_view database);
+    bool takeRetry(std::string_view database);
     // Whole retries in the budget.
     std::int64_t available(std::string_view database) const;
 
--- a/include/egrettide/core/router.h
+++ b/include/egrettide/core/router.h
@@ -70,7 +70,7 @@
     // compete with those of other zones.
     milliseconds localWaitLimit{2};
     // A replica gets no reads for this long after its home refused or lost one.
-    milliseconds avoidFor{200};
+    milliseconds failureBackoff{200};
     // A hint of an upstream's own home takes precedence over hints of other homes for this
     // long: a home that is cut off reports all other upstreams as unreachable.
     milliseconds ownHintPrecedence{1000};
@@ -81,8 +81,8 @@
     // Without it, while all replicas are seconds behind and the primary is overloaded,
     // every read tries all three, and its caller gets NotFresh instead of Overloaded with
     // a time to retry: 1,200 such refusals in 16 s at 150 reads a second.
-    milliseconds behindFor{20};
-    milliseconds behindForLongest{640};
+    milliseconds notFreshBackoff{20};
+    milliseconds maximumNotFreshBackoff{640};
     // A hint older than this no longer excludes a replica for its floor or age, since the
     // replica may have caught up.
     milliseconds hintValidity{500};
@@ -118,7 +118,7 @@
     // The error to return in place of the reply's own. Set if an idempotent request was
     // lost at one upstream and refused by the next: the refusal alone would report "not
     // run" although the first upstream may have run it.
-    std::optional<Error> instead;
+    std::optional<Error> replacementError;
 };
 
 using RouteDecision = std::variant<Route, Finish>;
@@ -150,7 +150,7 @@
     // time of the home.
     void startOver();
     // The number of rounds after the first.
-    std::size_t roundsBegunAgain() const;
+    std::size_t extraRounds() const;
     // The upstreams tried in the current round with their refusals, such as
     // "m1:not_fresh m2:overloaded"; for logs.
     std::string history() const;
@@ -167,7 +167,7 @@
     bool m_askOthers = true;
     // True once an attempt ended with an unknown outcome; never reset.
     bool m_outcomeUnknown = false;
-    std::size_t m_roundsBegunAgain = 0;
+    std::size_t m_extraRounds = 0;
 };
 
 // Consumes one retry of the budget; returns false if there is none.
--- a/include/egrettide/core/sessionstate.h
+++ b/include/egrettide/core/sessionstate.h
@@ -46,7 +46,7 @@
     bool latest = false;
     // True when a session is exactly one connection, so that no earlier work
     // exists that its reads would have to see: its floor starts complete.
-    bool startsKnown = false;
+    bool startsWithCompleteFloor = false;
     // False to let reads return an older state than an earlier read did, within the
     // accepted age; reads see the session's own writes in any case.
     //
--- a/include/egrettide/core/storeepoch.h
+++ b/include/egrettide/core/storeepoch.h
@@ -41,13 +41,13 @@
 };
 
 // The epoch of an answer, compared with the current one.
-enum class EpochNews {
+enum class EpochChange {
     // Equal to the current epoch, or the answer states none.
     Current,
     // The first epoch, or a later one than the current.
     Advanced,
     // Earlier than the current epoch.
-    Fallen,
+    Decreased,
     // Not a number, or greater than StoreRevision::largestEpoch.
     Malformed,
 };
@@ -58,7 +58,7 @@
 public:
     // Evaluates the epoch stated in an answer; `text` is empty if it states none. current()
     // changes only if the result is Advanced.
-    EpochNews onAnswer(std::string_view text);
+    EpochChange onAnswer(std::string_view text);
 
     // 0 until the store has stated an epoch.
     std::uint64_t current() const;
--- a/include/egrettide/core/switchover.h
+++ b/include/egrettide/core/switchover.h
@@ -38,7 +38,7 @@
 };
 
 // Run probe rounds at short intervals until the change ends, since it waits for marks.
-struct WatchMarks {
+struct RequestFrequentRounds {
 };
 
 enum class SwitchoverFailure {
@@ -59,7 +59,7 @@
     std::optional<SwitchoverFailure> failure;
 };
 
-using SwitchoverAction = std::variant<PauseWrites, ResumeWrites, HandOver, StartPromotion, WatchMarks, SwitchoverDone>;
+using SwitchoverAction = std::variant<PauseWrites, ResumeWrites, HandOver, StartPromotion, RequestFrequentRounds, SwitchoverDone>;
 using SwitchoverActions = std::vector<SwitchoverAction>;
 
 struct SwitchoverOptions {
--- a/include/egrettide/core/types.h
+++ b/include/egrettide/core/types.h
@@ -88,7 +88,7 @@
     bool reachable = false;
     // True once a probe of it has been answered or has failed; before that, `reachable` has
     // no meaning.
-    bool judged = false;
+    bool reachabilityKnown = false;
     bool leaving = false;
 };
 
--- a/include/egrettide/core/upstreamsuccession.h
+++ b/include/egrettide/core/upstreamsuccession.h
@@ -37,7 +37,7 @@
     // state one; otherwise the one that was first seen later; for two that were first seen in
     // the same call, the one with fewer heartbeats. Returns the upstreams that the previous
     // call had not removed.
-    std::vector<SupersededUpstream> settle(Configuration &configuration);
+    std::vector<SupersededUpstream> removeSuperseded(Configuration &configuration);
 
 private:
     // Names of upstreams, in the order in which they were first seen.
--- a/include/egrettide/core/writegap.h
+++ b/include/egrettide/core/writeoutagetracker.h
@@ -13,12 +13,12 @@
 // The time from the last successful write before a failed one to the first successful
 // write after it.
 struct WriteOutage {
-    milliseconds lasted{0};
+    milliseconds duration{0};
     std::uint64_t failedWrites = 0;
 };
 
 // Tracks the writes to one database.
-class WriteGap
+class WriteOutageTracker
 {
 public:
     // Shorter gaps are not outages: single writes may fail for other reasons.
@@ -35,7 +35,7 @@
         const WriteOutage outage{std::chrono::duration_cast<milliseconds>(now - m_lastServedAt.value_or(now)), m_failedWrites};
         m_lastServedAt = now;
         m_failedWrites = 0;
-        return outage.failedWrites > 0 && outage.lasted >= shortest ? std::optional(outage) : std::nullopt;
+        return outage.failedWrites > 0 && outage.duration >= shortest ? std::optional(outage) : std::nullopt;
     }
 
 private:
--- a/src/core/configuration/configurationstate.cpp
+++ b/src/core/configuration/configurationstate.cpp
@@ -25,11 +25,11 @@
         return OfferResult::Stale;
     }
     m_current = std::make_shared<const Configuration>(std::move(configuration));
-    heardOf(offered);
+    noteKnownVersion(offered);
     return OfferResult::Accepted;
 }
 
-void ConfigurationState::heardOf(std::uint64_t version)
+void ConfigurationState::noteKnownVersion(std::uint64_t version)
 {
     m_newestKnownVersion = std::max(m_newestKnownVersion, version);
 }
@@ -44,7 +44,7 @@
     return m_current ? m_current->version : 0;
 }
 
-std::uint64_t ConfigurationState::newestHeard() const
+std::uint64_t ConfigurationState::newestKnownVersion() const
 {
     return m_newestKnownVersion;
 }
--- a/src/core/configuration/readerduty.cpp
+++ b/src/core/configuration/readerselection.cpp
@@ -1,7 +1,7 @@
 // Selection of store readers: the first candidate of a zone reads the store, and the next
 // one if the first does not reach it.
 
-#include "egrettide/core/readerduty.h"
+#include "egrettide/core/readerselection.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,27 +9,27 @@
 namespace egrettide
 {
 
-ReaderDuty::ReaderDuty(std::string self, ReaderDutyOptions options) : m_self(std::move(self)), m_options(options)
+ReaderSelection::ReaderSelection(std::string self, ReaderSelectionOptions options) : m_self(std::move(self)), m_options(options)
 {
 }
 
-void ReaderDuty::onCandidates(std::vector<std::string> candidates)
+void ReaderSelection::onCandidates(std::vector<std::string> candidates)
 {
     m_candidates = std::move(candidates);
     m_candidatesKnown = true;
 }
 
-void ReaderDuty::onReach(bool reachable)
+void ReaderSelection::onStoreReachable(bool reachable)
 {
     m_storeReachable = reachable;
 }
 
-void ReaderDuty::onHandOver(TimePoint now)
+void ReaderSelection::onHandOver(TimePoint now)
 {
     m_handedOverUntil = now + m_options.handOverValidity;
 }
 
-std::optional<std::size_t> ReaderDuty::rank() const
+std::optional<std::size_t> ReaderSelection::rank() const
 {
     const auto found = std::ranges::find(m_candidates, m_self);
     if (found == m_candidates.end()) {
@@ -38,9 +38,9 @@
     return static_cast<std::size_t>(found - m_candidates.begin());
 }
 
-bool ReaderDuty::reads(TimePoint now) const
+bool ReaderSelection::isReader(TimePoint now) const
 {
-    if (m_options.everybodyReads) {
+    if (m_options.allHostsRead) {
         return true;
     }
     if (!m_candidatesKnown) {
@@ -53,9 +53,9 @@
 // The store may refuse single hosts, or they may be partitioned from the store only. Such a
 // reader is alive, so membership keeps it as the first candidate. Without a hand-over its
 // zone would get no changes until hosts of another zone send them.
-std::optional<std::string> ReaderDuty::handsOverTo(TimePoint now)
+std::optional<std::string> ReaderSelection::handOverTarget(TimePoint now)
 {
-    if (m_options.everybodyReads || m_storeReachable || !reads(now) || now < m_nextHandOverAt) {
+    if (m_options.allHostsRead || m_storeReachable || !isReader(now) || now < m_nextHandOverAt) {
         return std::nullopt;
     }
     const auto own = rank();
--- a/src/core/configuration/storeepoch.cpp
+++ b/src/core/configuration/storeepoch.cpp
@@ -7,24 +7,24 @@
 namespace egrettide
 {
 
-EpochNews StoreEpochTracker::onAnswer(std::string_view text)
+EpochChange StoreEpochTracker::onAnswer(std::string_view text)
 {
     if (text.empty()) {
-        return EpochNews::Current;
+        return EpochChange::Current;
     }
     std::uint64_t epoch = 0;
     const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), epoch);
     if (failed != std::errc() || end != text.data() + text.size() || epoch > StoreRevision::largestEpoch) {
-        return EpochNews::Malformed;
+        return EpochChange::Malformed;
     }
     if (epoch < m_current) {
-        return EpochNews::Fallen;
+        return EpochChange::Decreased;
     }
     if (epoch == m_current) {
-        return EpochNews::Current;
+        return EpochChange::Current;
     }
     m_current = epoch;
-    return EpochNews::Advanced;
+    return EpochChange::Advanced;
 }
 
 std::uint64_t StoreEpochTracker::current() const
--- a/src/core/configuration/upstreamsuccession.cpp
+++ b/src/core/configuration/upstreamsuccession.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-std::vector<SupersededUpstream> UpstreamSuccession::settle(Configuration &configuration)
+std::vector<SupersededUpstream> UpstreamSuccession::removeSuperseded(Configuration &configuration)
 {
     // Heartbeats determine the order of upstreams that are first seen in this call.
     std::vector<const UpstreamSpec *> all;
--- a/src/core/fleet/joingate.cpp
+++ b/src/core/fleet/joingate.cpp
@@ -9,7 +9,7 @@
 {
 
 JoinGate::JoinGate(std::string zone, JoinOptions options, TimePoint startedAt)
-    : m_zone(std::move(zone)), m_options(options), m_latestJoin(startedAt + options.bound), m_joinsAt(m_latestJoin)
+    : m_zone(std::move(zone)), m_options(options), m_latestJoin(startedAt + options.maxDelay), m_joinsAt(m_latestJoin)
 {
 }
 
--- a/src/core/fleet/linkprobe.cpp
+++ b/src/core/fleet/linkprobe.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-void LinkProbe::doubt(TimePoint now)
+void LinkProbe::markUnproven(TimePoint now)
 {
     m_unprovenSince = now;
 }
@@ -22,7 +22,7 @@
     return lastReceivedAt < m_unprovenSince;
 }
 
-bool LinkProbe::isSilent() const
+bool LinkProbe::hasMissedProbe() const
 {
     return m_missed > 0;
 }
@@ -47,7 +47,7 @@
         return LinkProbeStep::Wait;
     }
     m_missed += isAnswered ? 0 : 1;
-    if (m_missed >= m_options.mostMissed) {
+    if (m_missed >= m_options.maxMissedProbes) {
         return LinkProbeStep::GiveUp;
     }
     m_lastPingAt = now;
--- a/src/core/fleet/membership.cpp
+++ b/src/core/fleet/membership.cpp
@@ -24,7 +24,7 @@
     : m_self(std::move(self))
     , m_options(options)
     , m_random(seed)
-    , m_table(options.remembersIncarnations)
+    , m_table(options.keepsIncarnations)
     , m_lastTickAt(now)
     , m_nextPeriodAt(now)
     , m_nextForgetAt(now)
@@ -105,7 +105,7 @@
     }
 }
 
-bool Membership::State::hasMetZone() const
+bool Membership::State::hasDiscoveredZone() const
 {
     const auto isKnown = [this](const auto &entry) {
         const Member *member = m_table.find(entry.first);
@@ -277,9 +277,9 @@
     return m_state->reach(now);
 }
 
-bool Membership::hasMetZone() const
+bool Membership::hasDiscoveredZone() const
 {
-    return m_state->hasMetZone();
+    return m_state->hasDiscoveredZone();
 }
 
 std::vector<GossipSend> Membership::onLinkLost(const std::string &peer, TimePoint now)
--- a/src/core/fleet/membershipnews.cpp
+++ b/src/core/fleet/membershipnews.cpp
@@ -126,7 +126,7 @@
 bool Membership::State::isUnverifiedDeath(const HostRecord &record, const std::string &sender) const
 {
     const Member *known = m_table.find(record.name);
-    return m_options.checksHearsay && record.health == HostHealth::Dead && sender != record.name && known != nullptr
+    return m_options.verifiesDeathReports && record.health == HostHealth::Dead && sender != record.name && known != nullptr
         && known->record.health == HostHealth::Live && known->record.incarnation == record.incarnation;
 }
 
--- a/src/core/fleet/membershipprobing.cpp
+++ b/src/core/fleet/membershipprobing.cpp
@@ -145,10 +145,10 @@
     if (now < m_nextForgetAt) {
         return;
     }
-    m_nextForgetAt = now + m_options.remembersDead / 60;
+    m_nextForgetAt = now + m_options.deadRetention / 60;
     std::vector<std::string> forgotten;
     for (const auto &[name, member] : m_table.members()) {
-        const bool old = now - member.healthSince > m_options.remembersDead;
+        const bool old = now - member.healthSince > m_options.deadRetention;
         if (member.record.health == HostHealth::Dead && old) {
             forgotten.push_back(name);
         }
--- a/src/core/fleet/membershipstate.h
+++ b/src/core/fleet/membershipstate.h
@@ -47,7 +47,7 @@
     }
 
     HostReach reach(TimePoint now) const;
-    bool hasMetZone() const;
+    bool hasDiscoveredZone() const;
 
 private:
     enum class Stage { Direct, Indirect };
--- a/src/core/fleet/membertable.cpp
+++ b/src/core/fleet/membertable.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-MemberTable::MemberTable(bool remembersIncarnations) : m_remembersIncarnations(remembersIncarnations)
+MemberTable::MemberTable(bool keepsIncarnations) : m_keepsIncarnations(keepsIncarnations)
 {
 }
 
@@ -87,7 +87,7 @@
     const bool newer = record.incarnation > known.incarnation;
     const bool worse = record.incarnation == known.incarnation && record.health > known.health;
     const bool differs = record.incarnation != known.incarnation || record.health != known.health;
-    if (newer || worse || (!m_remembersIncarnations && differs)) {
+    if (newer || worse || (!m_keepsIncarnations && differs)) {
         replace(member, record, now, retransmits);
         return true;
     }
--- a/src/core/fleet/membertable.h
+++ b/src/core/fleet/membertable.h
@@ -43,7 +43,7 @@
 class MemberTable
 {
 public:
-    explicit MemberTable(bool remembersIncarnations);
+    explicit MemberTable(bool keepsIncarnations);
 
     // Applies a record if it has precedence over the known one; returns whether it did. The update
     // is queued for `retransmits` messages.
@@ -97,7 +97,7 @@
     void queueRecord(Member &member, int retransmits);
     void queueNote(Member &member, int retransmits);
 
-    const bool m_remembersIncarnations;
+    const bool m_keepsIncarnations;
     std::map<std::string, Member> m_members;
     absl::flat_hash_map<std::uint64_t, std::string> m_names;
     // Names with transmissions left, in order. Invariant: a name is in a queue exactly while its
--- a/src/core/fleet/partitiondetector.cpp
+++ b/src/core/fleet/partitiondetector.cpp
@@ -43,7 +43,7 @@
     if (!m_suspected) {
         return;
     }
-    m_nextStoreQueryAt = now + m_options.askAgain;
+    m_nextStoreQueryAt = now + m_options.storeQueryInterval;
     m_storeTimeoutAt = TimePoint::max();
     if (answered) {
         // The store answers, so this host is on the surviving side.
@@ -53,7 +53,7 @@
     }
 }
 
-void PartitionDetector::onReadinessTold(bool ready, TimePoint now)
+void PartitionDetector::onReadinessReported(bool ready, TimePoint now)
 {
     if (ready || !m_cutOff) {
         m_notReadyAnswers = 0;
@@ -104,17 +104,17 @@
     return std::min({m_nextStoreQueryAt, m_storeTimeoutAt, m_nextMoveAt});
 }
 
-bool PartitionDetector::asksStore(TimePoint now)
+bool PartitionDetector::shouldQueryStore(TimePoint now)
 {
     if (now < m_nextStoreQueryAt) {
         return false;
     }
     m_nextStoreQueryAt = TimePoint::max();
-    m_storeTimeoutAt = now + m_options.storePatience;
+    m_storeTimeoutAt = now + m_options.storeAnswerTimeout;
     return true;
 }
 
-bool PartitionDetector::movesCallers(TimePoint now)
+bool PartitionDetector::shouldMoveCallers(TimePoint now)
 {
     if (now < m_nextMoveAt) {
         return false;
--- a/src/core/fleet/quotabackoff.cpp
+++ b/src/core/fleet/quotabackoff.cpp
@@ -9,7 +9,7 @@
 {
 }
 
-void QuotaBackoff::refused(const std::string &workspace, milliseconds after, TimePoint now)
+void QuotaBackoff::onRefused(const std::string &workspace, milliseconds after, TimePoint now)
 {
     Throttle &throttle = m_throttles[workspace];
     throttle.askedFraction *= m_options.decrease;
@@ -17,7 +17,7 @@
     throttle.retryAfter = after;
 }
 
-std::optional<milliseconds> QuotaBackoff::refusesHere(const std::string &workspace, TimePoint now)
+std::optional<milliseconds> QuotaBackoff::localRefusal(const std::string &workspace, TimePoint now)
 {
     const auto found = m_throttles.find(workspace);
     if (found == m_throttles.end()) {
--- a/src/core/fleet/quotagrace.cpp
+++ b/src/core/fleet/quotagrace.cpp
@@ -27,7 +27,7 @@
     }
 }
 
-void QuotaGrace::heard(const std::string &workspace, const QuotaVerdict &verdict, TimePoint now)
+void QuotaGrace::onVerdict(const std::string &workspace, const QuotaVerdict &verdict, TimePoint now)
 {
     if (verdict.kind == QuotaVerdict::Kind::NotKeeper) {
         return;
@@ -47,7 +47,7 @@
     prune(history, now);
 }
 
-void QuotaGrace::unanswered(const std::string &workspace, TimePoint now)
+void QuotaGrace::onKeeperTimeout(const std::string &workspace, TimePoint now)
 {
     const auto found = m_histories.find(workspace);
     if (found == m_histories.end() || found->second.silent) {
@@ -63,7 +63,7 @@
     }
 }
 
-bool QuotaGrace::take(const std::string &workspace)
+bool QuotaGrace::tryStart(const std::string &workspace)
 {
     const auto found = m_histories.find(workspace);
     if (found == m_histories.end() || !found->second.silent || found->second.remaining == 0) {
--- a/src/core/fleet/quotakeeper.cpp
+++ b/src/core/fleet/quotakeeper.cpp
@@ -55,7 +55,7 @@
     return keepers;
 }
 
-double partInView(const MembershipView &view)
+double visibleFraction(const MembershipView &view)
 {
     std::size_t known = 0;
     std::size_t live = 0;
@@ -91,7 +91,7 @@
     absl::erase_if(m_buckets, [this](const auto &entry) { return !m_allowances.contains(entry.first); });
 }
 
-void QuotaKeeper::keep(const std::bitset<quotaSlots> &slots, double visibleFraction, TimePoint now)
+void QuotaKeeper::setKeptSlots(const std::bitset<quotaSlots> &slots, double visibleFraction, TimePoint now)
 {
     absl::erase_if(m_buckets, [&slots](const auto &entry) { return !slots.test(quotaSlotOf(entry.first)); });
     for (std::size_t slot = 0; slot < quotaSlots; ++slot) {
--- a/src/core/group/freshnessgate.cpp
+++ b/src/core/group/freshnessgate.cpp
@@ -260,7 +260,7 @@
 GateDecision FreshnessGate::awaitFirstStatus(const DecisionInputs &inputs) const
 {
     const TimePoint budget = std::min(inputs.request.deadline, inputs.request.replicaWaitUntil);
-    const bool waits = !inputs.member.judged && inputs.now < budget && m_options.waitPolicy != WaitPolicy::Never;
+    const bool waits = !inputs.member.reachabilityKnown && inputs.now < budget && m_options.waitPolicy != WaitPolicy::Never;
     return waits ? GateDecision(WaitUntil{budget, FreshnessReason::Unreachable}) : GoElsewhere{FreshnessReason::Unreachable};
 }
 
--- a/src/core/group/groupmonitor.cpp
+++ b/src/core/group/groupmonitor.cpp
@@ -88,7 +88,7 @@
     if (!probes.upstreams.empty()) {
         Round round{.sentAt = now, .unanswered = probes.upstreams.size(), .answers = {}};
         const bool primaryProbed = std::ranges::find(probes.upstreams, m_primary) != probes.upstreams.end();
-        const bool enough = m_options.asksOnlySilent || probes.upstreams.size() >= majority();
+        const bool enough = m_options.probesOnlySilent || probes.upstreams.size() >= majority();
         round.conclusive = primaryProbed && enough;
         m_rounds.emplace(probes.id, std::move(round));
     }
@@ -128,7 +128,7 @@
     }
     failing->detector.onFailure(failure, now);
     // Silence is judged by the detector, and a busy member may accept a later probe.
-    failing->judged = failing->judged || failure == ProbeFailure::Refused || failure == ProbeFailure::Reset;
+    failing->reachabilityKnown = failing->reachabilityKnown || failure == ProbeFailure::Refused || failure == ProbeFailure::Reset;
     failing->reachable = failing->reachable && !failing->detector.suspects(now);
     finishProbe(id);
     invalidateSnapshot();
@@ -143,7 +143,7 @@
     invalidateSnapshot();
 }
 
-void GroupMonitor::onTrouble(TimePoint now)
+void GroupMonitor::onRequestFailed(TimePoint now)
 {
     m_troubleAt = now;
 }
@@ -203,7 +203,7 @@
         view.observedAt = each.observedAt;
         view.replayRate = each.replayRate;
         view.reachable = each.reachable;
-        view.judged = each.judged;
+        view.reachabilityKnown = each.reachabilityKnown;
         view.leaving = each.spec.leaving;
         built->members.push_back(std::move(view));
     }
@@ -220,14 +220,14 @@
 std::optional<Suspicion> GroupMonitor::suspicion(TimePoint now) const
 {
     if (m_primary.empty()) {
-        if (m_noPrimarySince && now - *m_noPrimarySince >= m_options.noPrimaryPatience) {
+        if (m_noPrimarySince && now - *m_noPrimarySince >= m_options.noPrimaryTimeout) {
             return Suspicion{.reason = SuspicionReason::NoPrimary, .primary = "", .term = m_term};
         }
         return std::nullopt;
     }
     const FailureDetector &detector = member(m_primary)->detector;
     if (!detector.suspects(now)) {
-        const bool stuck = m_splitSince && now - *m_splitSince >= m_options.splitPatience;
+        const bool stuck = m_splitSince && now - *m_splitSince >= m_options.splitPromisesTimeout;
         return stuck ? std::optional(Suspicion{SuspicionReason::SplitPromises, m_primary, m_term}) : std::nullopt;
     }
     const auto reason = detector.refused() ? SuspicionReason::PrimaryRefuses : SuspicionReason::PrimarySilent;
@@ -242,7 +242,7 @@
     if (m_primary.empty()) {
         return m_noPrimarySince.has_value();
     }
-    const bool stuck = m_splitSince && now - *m_splitSince >= m_options.splitPatience / 2;
+    const bool stuck = m_splitSince && now - *m_splitSince >= m_options.splitPromisesTimeout / 2;
     return stuck || suspects(primary.empty() ? std::string_view(m_primary) : primary, now);
 }
 
@@ -313,9 +313,9 @@
         invalidateSnapshot();
     }
     const bool suspected = member.detector.suspects(now);
-    if (suspected && (member.reachable || !member.judged)) {
+    if (suspected && (member.reachable || !member.reachabilityKnown)) {
         member.reachable = false;
-        member.judged = true;
+        member.reachabilityKnown = true;
         invalidateSnapshot();
     }
 }
@@ -323,7 +323,7 @@
 void GroupMonitor::observe(Member &member, RoundId id, const MemberStatus &status, TimePoint sentAt)
 {
     member.reachable = true;
-    member.judged = true;
+    member.reachabilityKnown = true;
     member.lastAnswerSentAt = std::max(member.lastAnswerSentAt, sentAt);
     if (member.status && id <= member.statusRound) {
         return;
@@ -372,7 +372,7 @@
 
 void GroupMonitor::adoptPrimary(Term term, const std::string &primary, TimePoint now)
 {
-    if (m_options.leaderProvesItself && term > m_term) {
+    if (m_options.primaryProvesItself && term > m_term) {
         m_watermarks.clear();
     }
     m_term = term;
@@ -395,7 +395,7 @@
 
 bool GroupMonitor::majorityPromisedAbove(Term term) const
 {
-    if (m_options.leaderProvesItself) {
+    if (m_options.primaryProvesItself) {
         return false;
     }
     const auto above = std::ranges::count_if(m_members, [term](const Member &each) { return each.promised > term; });
@@ -413,7 +413,7 @@
         answering += each.reachable ? 1 : 0;
         standing += each.reachable && each.promised == m_term ? 1 : 0;
     }
-    return !m_options.leaderProvesItself && !m_primary.empty() && answering >= majority() && standing < majority();
+    return !m_options.primaryProvesItself && !m_primary.empty() && answering >= majority() && standing < majority();
 }
 
 void GroupMonitor::watchSplit(TimePoint now)
--- a/src/core/group/groupmonitorasking.cpp
+++ b/src/core/group/groupmonitorasking.cpp
@@ -13,14 +13,14 @@
         return now;
     }
     const Member *const primary = member(m_primary);
-    if (m_options.asksOnlySilent && primary && !waitersPresent) {
+    if (m_options.probesOnlySilent && primary && !waitersPresent) {
         TimePoint next = TimePoint::max();
         for (const Member &each : m_members) {
             next = std::min(next, dueAt(each, now));
         }
         return std::max(next, *m_lastRoundAt + m_options.busyInterval);
     }
-    if (m_options.asksOnlySilent && !primary) {
+    if (m_options.probesOnlySilent && !primary) {
         return nextSearchAt(now);
     }
     // A round without the primary proves nothing, so it is not accelerated.
@@ -30,7 +30,7 @@
     }
     const bool refusing = primary && primary->detector.refusing() && !primary->detector.refused();
     const bool urgent = refusing || (!m_confirmed && now < m_urgentUntil);
-    return *m_lastRoundAt + (urgent ? std::min(m_options.hurryInterval, m_options.idleInterval) : m_options.idleInterval);
+    return *m_lastRoundAt + (urgent ? std::min(m_options.urgentInterval, m_options.idleInterval) : m_options.idleInterval);
 }
 
 TimePoint GroupMonitor::nextSearchAt(TimePoint now) const
@@ -43,7 +43,7 @@
     return *m_lastRoundAt + (recentlyLost ? std::min(m_options.searchInterval, m_options.idleInterval) : m_options.idleInterval);
 }
 
-bool GroupMonitor::isHurried(TimePoint now) const
+bool GroupMonitor::isUrgent(TimePoint now) const
 {
     const Member *const primary = member(m_primary);
     const bool refusing = primary && primary->detector.refusing() && !primary->detector.refused();
@@ -54,8 +54,8 @@
 // How long a member may go without an answer before it is probed.
 milliseconds GroupMonitor::intervalOf(const Member &member, TimePoint now) const
 {
-    if (member.spec.upstream == m_primary && isHurried(now)) {
-        return std::min(m_options.hurryInterval, m_options.idleInterval);
+    if (member.spec.upstream == m_primary && isUrgent(now)) {
+        return std::min(m_options.urgentInterval, m_options.idleInterval);
     }
     const bool matters = m_homes.contains(member.spec.upstream) || member.spec.upstream == m_primary;
     if (matters && member.detector.awaitsAnswer()) {
@@ -75,7 +75,7 @@
 
 bool GroupMonitor::isAsked(const Member &each, RoundScope scope, TimePoint now) const
 {
-    if (!m_options.asksOnlySilent || scope == RoundScope::All || m_primary.empty()) {
+    if (!m_options.probesOnlySilent || scope == RoundScope::All || m_primary.empty()) {
         return true;
     }
     const bool wanted = scope == RoundScope::Proof && each.spec.upstream == m_primary;
--- a/src/core/group/groupmonitorproof.cpp
+++ b/src/core/group/groupmonitorproof.cpp
@@ -33,7 +33,7 @@
     const bool isPrimary = proof.status.upstream == m_primary;
     answering->detector.onSignOfLife(proof.sentAt);
     answering->reachable = true;
-    answering->judged = true;
+    answering->reachabilityKnown = true;
     if (answering->status) {
         answering->status->received = std::max(answering->status->received, proof.status.received);
         answering->status->replayed = std::max(answering->status->replayed, proof.status.replayed);
@@ -71,7 +71,7 @@
         const Term term = status.followingTerm;
         const auto standing =
             std::ranges::count_if(round.answers, [term](const auto &answer) { return answer.second.promisedTerm == term; });
-        const bool needsMajority = !m_options.leaderProvesItself && !m_options.faults.confirmWithoutMajority;
+        const bool needsMajority = !m_options.primaryProvesItself && !m_options.faults.confirmWithoutMajority;
         if (needsMajority && static_cast<std::size_t>(standing) < majority()) {
             continue;
         }
--- a/src/core/group/promoter.cpp
+++ b/src/core/group/promoter.cpp
@@ -283,7 +283,7 @@
     return m_renewal;
 }
 
-bool Promoter::awaitsGroup() const
+bool Promoter::awaitsPromotion() const
 {
     return m_phase == Phase::Promoting;
 }
@@ -325,7 +325,7 @@
 bool Promoter::majorityAgrees(TimePoint now) const
 {
     const bool ownPrimary = m_homes.contains(m_suspicion.primary);
-    const bool patient = now - m_suspectedSince >= m_options.loneHomePatience;
+    const bool patient = now - m_suspectedSince >= m_options.loneHomeDelay;
     const std::size_t heard = m_agreeing.size() + (ownPrimary && patient ? m_disagreeing.size() : 0);
     return heard >= majority();
 }
@@ -427,7 +427,7 @@
     if (!m_foreignClaim || m_foreignClaim->version != current.version) {
         m_foreignClaim = ForeignClaim{current.version, now};
     }
-    return now - m_foreignClaim->firstSeenAt < m_options.claimPatience;
+    return now - m_foreignClaim->firstSeenAt < m_options.foreignClaimTimeout;
 }
 
 PromoterActions Promoter::claim(std::uint64_t expectedVersion)
@@ -691,7 +691,7 @@
         const bool follows =
             status.role == UpstreamRole::Replica && status.followingTerm == m_leaderTerm && status.promisedTerm <= m_leaderTerm;
         const bool released = m_options.promoteBy == PromoteBy::ThirdParty && m_strandedSince
-            && now - *m_strandedSince >= m_options.strandedPatience;
+            && now - *m_strandedSince >= m_options.strandedTimeout;
         const bool refuses = status.promisedTerm > m_leaderTerm && !released;
         const auto order = std::ranges::find(m_orders, status.upstream, &Order::upstream);
         if ((follows || refuses) && order != m_orders.end()) {
@@ -707,7 +707,7 @@
     }
     // A third party keeps no promises, so none can block its orders.
     m_renewal =
-        m_options.promoteBy == PromoteBy::Member && m_strandedSince && now - *m_strandedSince >= m_options.strandedPatience;
+        m_options.promoteBy == PromoteBy::Member && m_strandedSince && now - *m_strandedSince >= m_options.strandedTimeout;
 }
 
 PromoterActions Promoter::sendDueOrders(TimePoint now)
--- a/src/core/group/switchover.cpp
+++ b/src/core/group/switchover.cpp
@@ -52,7 +52,7 @@
     actions.emplace_back(PauseWrites{});
     if (openTransactions == 0) {
         startCatchUp(now);
-        actions.emplace_back(WatchMarks{});
+        actions.emplace_back(RequestFrequentRounds{});
     }
     return actions;
 }
@@ -63,7 +63,7 @@
         return {};
     }
     startCatchUp(now);
-    return actionsOf(WatchMarks{});
+    return actionsOf(RequestFrequentRounds{});
 }
 
 SwitchoverActions Switchover::onSnapshot(const GroupSnapshot &snapshot, TimePoint now)
--- a/src/core/operators/logstory.cpp
+++ b/src/core/operators/requesttrace.cpp
@@ -1,6 +1,6 @@
 // The trace of one request, built from the log lines of any number of hosts.
 
-#include "egrettide/core/logstory.h"
+#include "egrettide/core/requesttrace.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -72,11 +72,11 @@
 
 } // namespace
 
-LogStory::LogStory(std::string requestId) : m_requestId(std::move(requestId))
+RequestTrace::RequestTrace(std::string requestId) : m_requestId(std::move(requestId))
 {
 }
 
-void LogStory::take(std::string_view line)
+void RequestTrace::addLine(std::string_view line)
 {
     const std::size_t brace = line.find('{');
     if (brace == std::string_view::npos) {
@@ -104,17 +104,17 @@
     }
 }
 
-bool LogStory::found() const
+bool RequestTrace::found() const
 {
     return !m_lines.empty();
 }
 
-std::size_t LogStory::skipped() const
+std::size_t RequestTrace::skipped() const
 {
     return m_skipped;
 }
 
-std::string LogStory::tell() const
+std::string RequestTrace::describe() const
 {
     std::vector<LogLine> lines = m_lines;
     std::stable_sort(lines.begin(), lines.end(), byTime);
@@ -125,7 +125,7 @@
     return text;
 }
 
-std::string LogStory::describeLine(const LogLine &line) const
+std::string RequestTrace::describeLine(const LogLine &line) const
 {
     std::string text =
         absl::StrCat(static_cast<std::int64_t>(line.time), " ", line.host, " ", line.event, "\n  ", fieldsOf(line), "\n");
@@ -139,8 +139,8 @@
 // The newest line with this event that the current process of the host wrote up to the time
 // of `line`; for one database, unless `database` is empty. Lines of earlier processes of the
 // host are ignored, as their state is no longer valid.
-const LogLine *LogStory::newestBefore(const LogLine &line, std::string_view host, std::string_view event,
-                                      std::string_view database) const
+const LogLine *RequestTrace::newestBefore(const LogLine &line, std::string_view host, std::string_view event,
+                                          std::string_view database) const
 {
     const LogLine *start = event == "started" ? nullptr : newestBefore(line, host, "started", {});
     const LogLine *newest = nullptr;
@@ -157,7 +157,7 @@
     return newest;
 }
 
-std::string LogStory::describeHostState(const LogLine &line) const
+std::string RequestTrace::describeHostState(const LogLine &line) const
 {
     std::string text;
     const auto add = [&](const LogLine *state) {
@@ -179,7 +179,7 @@
 // Describes the home of the request's upstream at the time of `line`, that is the host that
 // held the upstream's connections, and its state. While the home moves there may be two, or
 // none.
-std::string LogStory::describeHome(const LogLine &line) const
+std::string RequestTrace::describeHome(const LogLine &line) const
 {
     const std::string upstream = fieldOf(line, "upstream");
     const std::string database = fieldOf(line, "database");
--- a/src/core/sessions/calleradmission.cpp
+++ b/src/core/sessions/calleradmission.cpp
@@ -12,7 +12,7 @@
         return tenant->name;
     }
     const RouteSpec *route = configuration.route(routeName);
-    if (!configuration.asksForKeys || (route != nullptr && route->admitsUnknownKeys)) {
+    if (!configuration.requiresKeys || (route != nullptr && route->allowsUnknownKeys)) {
         return std::string();
     }
     return tl::unexpected(Error{ErrorKind::AuthenticationFailed,
--- a/src/core/sessions/classifier.cpp
+++ b/src/core/sessions/classifier.cpp
@@ -5,7 +5,7 @@
 
 #include "core/sessions/builtinfunctions.h"
 #include "core/sessions/parsetree.h"
-#include "core/sessions/statementfinding.h"
+#include "core/sessions/statementanalysis.h"
 
 #include <absl/strings/ascii.h>
 #include <absl/strings/match.h>
@@ -61,7 +61,7 @@
     std::vector<StatementAnalysis> analyses;
     if (tree.is_discarded()) {
         // The parser copies bytes that are not valid UTF-8 into its output. To forward such
-        // a text without analysis could let a statement pass that has to be refusedStatement.
+        // a text without analysis could let a statement pass that has to be refused.
         analyses.push_back(refusedStatement("The statement is not valid UTF-8; set client_encoding to UTF8 and send it again."));
         return analyses;
     }
--- a/src/core/sessions/sessionstate.cpp
+++ b/src/core/sessions/sessionstate.cpp
@@ -126,7 +126,7 @@
 SessionState::SessionState(SessionDefaults defaults, std::shared_ptr<const SessionTokenCodec> codec, TimePoint arrivedAt)
     : m_defaults(std::move(defaults)), m_codec(std::move(codec)), m_arrivedAt(arrivedAt)
 {
-    m_floorIncomplete = !m_defaults.startsKnown;
+    m_floorIncomplete = !m_defaults.startsWithCompleteFloor;
     resetAll();
 }
 
--- a/src/core/sessions/statementfinding.cpp
+++ b/src/core/sessions/statementanalysis.cpp
@@ -1,7 +1,7 @@
 // One function for each kind of statement, and a scan for what any tree may contain:
 // function calls, writes, temporary objects.
 
-#include "core/sessions/statementfinding.h"
+#include "core/sessions/statementanalysis.h"
 
 #include "core/sessions/builtinfunctions.h"
 
@@ -314,7 +314,7 @@
     return refusedStatement("DISCARD is supported only as DISCARD ALL; use that.");
 }
 
-// The message for statement types that are always refusedStatement.
+// The message for statement types that are always refused.
 std::optional<std::string_view> refusalOfType(const std::string &type)
 {
     struct Row {
--- a/src/core/sessions/statementfinding.h
+++ b/src/core/sessions/statementanalysis.h
@@ -24,7 +24,7 @@
     bool transactionOnly = false;
 };
 
-// The analysis of a statement that is refusedStatement; the message has to name a remedy.
+// The analysis of a refused statement; the message has to name a remedy.
 StatementAnalysis refusedStatement(std::string message);
 // The analysis of a statement of which only the kind matters.
 StatementAnalysis statementOfKind(StatementKind kind);
--- a/src/core/upstreams/connectionbudget.cpp
+++ b/src/core/upstreams/connectionbudget.cpp
@@ -162,16 +162,16 @@
     return now < m_refusedUntil ? std::min(share, m_refusedAllowance) : share;
 }
 
-TimePoint ConnectionBudget::shedsBy(TimePoint now) const
+TimePoint ConnectionBudget::shedDeadline(TimePoint now) const
 {
     if (!m_isHome) {
         return m_shedAllBy;
     }
     const bool lapsed = now >= m_settlesAt && !isConfirmed(now);
-    const TimePoint shedsBy = lapsed ? m_confirmedUntil + m_options.shedBound : m_shedToTakeoverBy;
+    const TimePoint shedDeadline = lapsed ? m_confirmedUntil + m_options.shedBound : m_shedToTakeoverBy;
     // A refusal lowers the allowance only temporarily. Closing busy connections for it
     // would turn a refused connection into unknown outcomes.
-    return now < m_refusedUntil ? std::max(shedsBy, m_refusedUntil + m_options.shedBound) : shedsBy;
+    return now < m_refusedUntil ? std::max(shedDeadline, m_refusedUntil + m_options.shedBound) : shedDeadline;
 }
 
 int ConnectionBudget::target(TimePoint now) const
@@ -180,7 +180,7 @@
     return std::min(allowance(now), std::max(m_options.minimumWarm, peak + m_options.spare));
 }
 
-int ConnectionBudget::transactionPlaces(int slots, TimePoint now) const
+int ConnectionBudget::transactionLimit(int slots, TimePoint now) const
 {
     return std::max(1, allowance(now) - slots);
 }
@@ -208,7 +208,7 @@
 TimePoint ConnectionBudget::nextEventAt(TimePoint now) const
 {
     TimePoint next = TimePoint::max();
-    for (const TimePoint event : {m_settlesAt, m_confirmedUntil, m_refusedUntil, m_windowEndsAt, shedsBy(now)}) {
+    for (const TimePoint event : {m_settlesAt, m_confirmedUntil, m_refusedUntil, m_windowEndsAt, shedDeadline(now)}) {
         if (event > now) {
             next = std::min(next, event);
         }
--- a/src/core/upstreams/connectionplan.cpp
+++ b/src/core/upstreams/connectionplan.cpp
@@ -42,7 +42,7 @@
     return rate.perSecond * std::exp(-std::max(0.0, age));
 }
 
-void ConnectionPlan::asked(std::string_view owner, TimePoint now)
+void ConnectionPlan::noteRequest(std::string_view owner, TimePoint now)
 {
     if (!m_options.perOwner) {
         return;
--- a/src/core/upstreams/retrybudget.cpp
+++ b/src/core/upstreams/retrybudget.cpp
@@ -23,7 +23,7 @@
     saved = std::min(saved + m_options.retriesPerThousand, m_options.maximumSaved * unitsPerRetry);
 }
 
-bool RetryBudget::mayRetry(std::string_view database)
+bool RetryBudget::takeRetry(std::string_view database)
 {
     if (m_options.grantAll) {
         return true;
--- a/src/core/upstreams/router.cpp
+++ b/src/core/upstreams/router.cpp
@@ -94,12 +94,12 @@
     m_refusal.reset();
     m_routeReason.reset();
     m_askOthers = true;
-    ++m_roundsBegunAgain;
+    ++m_extraRounds;
 }
 
-std::size_t RouteAttempts::roundsBegunAgain() const
+std::size_t RouteAttempts::extraRounds() const
 {
-    return m_roundsBegunAgain;
+    return m_extraRounds;
 }
 
 std::string RouteAttempts::history() const
@@ -229,7 +229,7 @@
         return std::nullopt;
     }
     // Any home of the group may know the primary and name it in the hint of its refusal.
-    const std::size_t round = context.attempts.roundsBegunAgain();
+    const std::size_t round = context.attempts.extraRounds();
     if (round > 0 && !context.attempts.m_tries.empty()) {
         return std::nullopt;
     }
--- a/src/core/upstreams/routermembers.cpp
+++ b/src/core/upstreams/routermembers.cpp
@@ -106,7 +106,7 @@
     const bool isUnavailable = kind == ErrorKind::Moved || kind == ErrorKind::Leaving || kind == ErrorKind::ConnectionLimit
         || kind == ErrorKind::UnknownOutcome;
     if (isUnavailable && readsOnly(request.kind)) {
-        member->second.avoidUntil = now + m_options.avoidFor;
+        member->second.avoidUntil = now + m_options.failureBackoff;
     }
 }
 
@@ -116,7 +116,7 @@
     if (now < backoff.until) {
         return;
     }
-    backoff.duration = std::clamp(backoff.duration * 2, m_options.behindFor, m_options.behindForLongest);
+    backoff.duration = std::clamp(backoff.duration * 2, m_options.notFreshBackoff, m_options.maximumNotFreshBackoff);
     backoff.until = now + backoff.duration;
 }
 
--- a/src/runtime/callers/callerconnection.cpp
+++ b/src/runtime/callers/callerconnection.cpp
@@ -177,7 +177,7 @@
         return;
     }
     boost::system::error_code error;
-    const std::size_t count = m_socket.read_some(boost::asio::buffer(m_shard->inbox), error);
+    const std::size_t count = m_socket.read_some(boost::asio::buffer(m_shard->receiveBuffer), error);
     if (error == boost::asio::error::would_block) {
         read();
         return;
@@ -191,7 +191,7 @@
         return;
     }
     if (m_phase != Phase::Closing) {
-        m_assembler.feed(std::string_view(m_shard->inbox.data(), count));
+        m_assembler.feed(std::string_view(m_shard->receiveBuffer.data(), count));
         process();
     }
     read();
--- a/src/runtime/callers/front.h
+++ b/src/runtime/callers/front.h
@@ -86,11 +86,11 @@
 // safeguard is needed.
 struct FrontFaults {
     // Accepts any reply as the answer to the current request.
-    bool takesLateReplies = false;
+    bool acceptsLateReplies = false;
     // Reports "not run" also for writes that were sent.
-    bool trustsNotRun = false;
+    bool acceptsLastRefusal = false;
     // Lets a session continue outside the transaction that it lost.
-    bool forgetsLostTransactions = false;
+    bool ignoresLostTransactions = false;
 };
 
 struct FrontOptions {
@@ -110,8 +110,8 @@
     // With a constant delay of 20 ms, each waiting caller sends 150 requests to the homes of
     // the database within the second that a promotion takes, and this load slows down the
     // promotion itself.
-    milliseconds primaryPoll{20};
-    milliseconds longestPrimaryPoll{320};
+    milliseconds primaryRetryDelay{20};
+    milliseconds maximumPrimaryRetryDelay{320};
     // How long after its deadline a request may stay unanswered by its home before the
     // front answers the caller with an unknown outcome.
     milliseconds answerGrace{1000};
@@ -128,7 +128,7 @@
     // Seed of the random choice among equivalent upstreams.
     std::uint64_t seed = 1;
     // How long a request waits for the answer of the quota check.
-    milliseconds quotaPatience{1000};
+    milliseconds quotaTimeout{1000};
     // The retry delay sent to a caller that connects before the first configuration.
     milliseconds noConfigurationRetry{1000};
     CallerLinkFactory makeCaller = postgresCallers();
--- a/src/runtime/callers/requestrunner.cpp
+++ b/src/runtime/callers/requestrunner.cpp
@@ -41,7 +41,7 @@
         admitted();
         return;
     }
-    const TimePoint until = std::min(m_request.deadline, m_shard->now() + m_shard->common->options.quotaPatience);
+    const TimePoint until = std::min(m_request.deadline, m_shard->now() + m_shard->common->options.quotaTimeout);
     m_shard->common->hooks.admit(
         m_request.tenant, until, [self = shared_from_this(), admitted = std::move(admitted)](tl::expected<void, Error> granted) {
             boost::asio::dispatch(self->m_shard->context, [self, admitted, granted = std::move(granted)] {
@@ -99,7 +99,7 @@
 
 void RequestRunner::onReply(std::uint64_t id, StatementReply reply)
 {
-    if (id != m_outstanding && !m_shard->common->options.faults.takesLateReplies) {
+    if (id != m_outstanding && !m_shard->common->options.faults.acceptsLateReplies) {
         onLateReply(reply);
         return;
     }
@@ -128,8 +128,8 @@
         return;
     }
     const auto *last = std::get_if<Finish>(&decision);
-    if (last != nullptr && last->instead && !m_shard->common->options.faults.trustsNotRun) {
-        reply.error = last->instead;
+    if (last != nullptr && last->replacementError && !m_shard->common->options.faults.acceptsLastRefusal) {
+        reply.error = last->replacementError;
     }
     if (reply.error && mayWaitForPrimary(*reply.error, reply.sent)) {
         waitForPrimary(std::move(reply));
@@ -175,19 +175,19 @@
     if (m_canceled || !lacksPrimary || (sent && !mayRunTwice)) {
         return false;
     }
-    return m_shard->now() + m_shard->common->options.primaryPoll < m_request.deadline;
+    return m_shard->now() + m_shard->common->options.primaryRetryDelay < m_request.deadline;
 }
 
 // At most half of the remaining time, so that the last attempt can still be answered.
 milliseconds RequestRunner::nextRetryDelay() const
 {
     const FrontOptions &options = m_shard->common->options;
-    milliseconds pause = options.primaryPoll;
-    for (std::size_t i = 0; i < m_attempts.roundsBegunAgain() && pause < options.longestPrimaryPoll; ++i) {
+    milliseconds pause = options.primaryRetryDelay;
+    for (std::size_t i = 0; i < m_attempts.extraRounds() && pause < options.maximumPrimaryRetryDelay; ++i) {
         pause *= 2;
     }
     const auto left = std::chrono::duration_cast<milliseconds>(m_request.deadline - m_shard->now());
-    return std::clamp(left / 2, options.primaryPoll, std::max(pause, options.primaryPoll));
+    return std::clamp(left / 2, options.primaryRetryDelay, std::max(pause, options.primaryRetryDelay));
 }
 
 void RequestRunner::waitForPrimary(StatementReply refusal)
@@ -254,13 +254,13 @@
     // "Not run" may be reported only for a request that was never sent; for reads it makes
     // no difference.
     const bool claimsNotRun = reply.error && outcomeOf(reply.error->kind) == Outcome::NotRun;
-    const bool trusts = m_shard->common->options.faults.trustsNotRun;
+    const bool trusts = m_shard->common->options.faults.acceptsLastRefusal;
     if (claimsNotRun && reply.sent && m_request.kind != StatementKind::Read && !trusts) {
         reply.error->kind = ErrorKind::UnknownOutcome;
     }
     reply.attempts = m_sends;
     if (reply.error) {
-        reply.tried = m_attempts.history();
+        reply.attemptHistory = m_attempts.history();
     }
     observe(reply);
     const DoneHandler done = std::move(m_done);
--- a/src/runtime/callers/trafficshard.h
+++ b/src/runtime/callers/trafficshard.h
@@ -93,7 +93,7 @@
     std::mt19937_64 random;
     // Receive buffer of all connections: input is consumed right after each read, so that
     // idle connections need no buffer of their own.
-    std::array<char, 65536> inbox{};
+    std::array<char, 65536> receiveBuffer{};
 
 private:
     void endWaits(const std::string &database)
--- a/src/runtime/configuration/configurationkeeper.cpp
+++ b/src/runtime/configuration/configurationkeeper.cpp
@@ -59,7 +59,7 @@
             return;
         }
         putInForce();
-        if (m_hooks.isWatcher()) {
+        if (m_hooks.isStoreReader()) {
             watch();
         } else if (m_state.version() == 0 || m_state.isBehind()) {
             fetch();
@@ -162,9 +162,9 @@
     }
 }
 
-void ConfigurationKeeper::heardOf(const std::string &host, const CatalogVersion &version)
+void ConfigurationKeeper::noteKnownVersion(const std::string &host, const CatalogVersion &version)
 {
-    m_state.heardOf(version.intent);
+    m_state.noteKnownVersion(version.intent);
     m_peerHeard = true;
     putInForce();
     const TimePoint now = Clock::now();
@@ -177,7 +177,7 @@
 
 void ConfigurationKeeper::onOffer(const std::string &from, const hop::ConfigOffer &offer)
 {
-    heardOf(from, {offer.version, 0});
+    noteKnownVersion(from, {offer.version, 0});
 }
 
 void ConfigurationKeeper::onPull(const std::string &from, const hop::ConfigPull &pull)
--- a/src/runtime/configuration/configurationsource.h
+++ b/src/runtime/configuration/configurationsource.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "egrettide/core/configuration.h"
-#include "egrettide/core/readerduty.h"
+#include "egrettide/core/readerselection.h"
 #include "wire/hopcodec.h"
 
 #include <cstdint>
@@ -33,13 +33,13 @@
     // Some live hosts other than this one, in random order, at most `count`.
     std::function<std::vector<std::string>(std::size_t count)> someHosts;
     // True when this host holds its zone's watch on the store.
-    std::function<bool()> isWatcher;
+    std::function<bool()> isStoreReader;
     std::function<ZoneHosts()> zone{};
     // The store came back from an older copy; what this host wrote there may be gone.
     std::function<void()> storeRestored = [] {};
     // Not hooks: how the hosts of a zone share the reading of the store, and the bytes a
     // second that bulk may take of this host's link, 0 for no bound.
-    ReaderDutyOptions reader{};
+    ReaderSelectionOptions reader{};
     std::uint64_t bulkBytesPerSecond = 0;
 };
 
@@ -72,7 +72,7 @@
     {
     }
     // A heartbeat told that `host` announces `version`; see announced().
-    virtual void heardOf(const std::string &host, const CatalogVersion &version) = 0;
+    virtual void noteKnownVersion(const std::string &host, const CatalogVersion &version) = 0;
 
     // The configuration in force; null while there is none.
     virtual std::shared_ptr<const Configuration> current() const = 0;
--- a/src/runtime/configuration/discoveredconfiguration.cpp
+++ b/src/runtime/configuration/discoveredconfiguration.cpp
@@ -41,7 +41,7 @@
     , m_settleTimer(control)
     , m_lookTimer(control)
     , m_pushTimer(control)
-    , m_duty(std::move(self), m_hooks.reader)
+    , m_selection(std::move(self), m_hooks.reader)
     , m_intentFollower(control, m_parts.intent, followerHooks("store_intent", [this] { onIntentChanged(); }))
     , m_registrationFollower(control, m_parts.registrations,
                              followerHooks("store_registrations", [this] { onRegistrationsChanged(); }))
@@ -269,7 +269,7 @@
         log::info("configuration_accepted",
                   {{"version", next.version}, {"routes", static_cast<int>(next.routes.size())}, {"source", m_intentSource}});
     }
-    for (const SupersededUpstream &old : m_succession.settle(next)) {
+    for (const SupersededUpstream &old : m_succession.removeSuperseded(next)) {
         log::info("upstream_superseded", {{"upstream", old.name}, {"address", old.address}, {"by", old.successor}});
     }
     m_current = std::make_shared<const Configuration>(std::move(next));
--- a/src/runtime/configuration/discoveredconfiguration.h
+++ b/src/runtime/configuration/discoveredconfiguration.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "egrettide/core/catalogversion.h"
-#include "egrettide/core/readerduty.h"
+#include "egrettide/core/readerselection.h"
 #include "egrettide/core/upstreamsuccession.h"
 #include "runtime/configuration/catalogtexts.h"
 #include "runtime/configuration/collection.h"
@@ -73,7 +73,7 @@
     void onCatalogOffer(const std::string &from, const hop::CatalogOffer &offer) override;
     void onCatalogPull(const std::string &from, const hop::CatalogPull &pull) override;
     void onCatalogPush(const std::string &from, const hop::CatalogPush &push) override;
-    void heardOf(const std::string &host, const CatalogVersion &version) override;
+    void noteKnownVersion(const std::string &host, const CatalogVersion &version) override;
     std::shared_ptr<const Configuration> current() const override;
     CatalogVersion announced() const override;
     std::uint64_t storeEpoch() const override;
@@ -117,7 +117,7 @@
     Timer m_settleTimer;
     Timer m_lookTimer;
     Timer m_pushTimer;
-    ReaderDuty m_duty;
+    ReaderSelection m_selection;
     // Whether this host followed the store when it last looked.
     bool m_reads = false;
     CatalogTexts m_texts;
--- a/src/runtime/configuration/discoveredsharing.cpp
+++ b/src/runtime/configuration/discoveredsharing.cpp
@@ -57,17 +57,17 @@
     ZoneHosts zone = m_hooks.zone();
     if (zone.known) {
         m_zoneReader = zone.candidates.empty() ? std::string() : zone.candidates.front();
-        m_duty.onCandidates(std::move(zone.candidates));
+        m_selection.onCandidates(std::move(zone.candidates));
     }
-    m_duty.onReach(m_intentFollower.isReached() && m_registrationFollower.isReached());
-    if (m_duty.reads(now) != m_reads) {
+    m_selection.onStoreReachable(m_intentFollower.isReached() && m_registrationFollower.isReached());
+    if (m_selection.isReader(now) != m_reads) {
         m_reads = !m_reads;
         log::info("store_reader", {{"reads", m_reads}});
         m_behindSince.reset();
         m_intentFollower.setWaiting(m_reads);
         m_registrationFollower.setWaiting(m_reads);
     }
-    if (const auto next = m_duty.handsOverTo(now)) {
+    if (const auto next = m_selection.handOverTarget(now)) {
         m_hooks.send(*next, hop::CatalogOffer{version(), false});
     }
     // Words and answers are lost at times: who is behind does not wait for another word.
@@ -150,7 +150,7 @@
     }
 }
 
-void DiscoveredConfiguration::heardOf(const std::string &host, const CatalogVersion &version)
+void DiscoveredConfiguration::noteKnownVersion(const std::string &host, const CatalogVersion &version)
 {
     hearOf(host, version);
 }
@@ -158,7 +158,7 @@
 void DiscoveredConfiguration::onCatalogOffer(const std::string &from, const hop::CatalogOffer &offer)
 {
     if (!offer.readsStore) {
-        m_duty.onHandOver(Clock::now());
+        m_selection.onHandOver(Clock::now());
         look();
     }
     hearOf(from, offer.version);
--- a/src/runtime/fleet/membershipdriver.cpp
+++ b/src/runtime/fleet/membershipdriver.cpp
@@ -68,9 +68,9 @@
     return m_membership.view();
 }
 
-bool MembershipDriver::hasMetZone() const
+bool MembershipDriver::hasDiscoveredZone() const
 {
-    return m_membership.hasMetZone();
+    return m_membership.hasDiscoveredZone();
 }
 
 // Also called after an event that may have moved the next tick to an earlier time; a change
@@ -111,7 +111,7 @@
 {
     // One store reader per zone keeps the load on the store independent of the number of
     // hosts; a host without known live peers has to read the list itself.
-    if (m_membership.liveCount() > 1 && !m_hooks.isWatcher()) {
+    if (m_membership.liveCount() > 1 && !m_hooks.isStoreReader()) {
         readHostListLater();
         return;
     }
@@ -200,7 +200,7 @@
         m_hooks.reachChanged(reach);
     }
     const auto view = m_membership.view();
-    const bool zoneDiscovered = m_membership.hasMetZone();
+    const bool zoneDiscovered = m_membership.hasDiscoveredZone();
     const bool isChanged = view->placementVersion != m_publishedPlacement || view->trusted != m_publishedTrusted
         || zoneDiscovered != m_publishedZoneDiscovered;
     if (!isChanged) {
--- a/src/runtime/fleet/membershipdriver.h
+++ b/src/runtime/fleet/membershipdriver.h
@@ -20,14 +20,14 @@
 struct MembershipDriverHooks {
     std::function<void(const std::string &host, const std::string &address, hop::HopMessage)> send;
     // Called when the set of live or leaving hosts changes, when the view becomes trusted or
-    // untrusted, or when Membership::hasMetZone() changes.
+    // untrusted, or when Membership::hasDiscoveredZone() changes.
     std::function<void(std::shared_ptr<const MembershipView>)> changed;
     // Called when the number of reachable or lost hosts changes.
     std::function<void(const HostReach &reach)> reachChanged;
     // Called with the highest configuration version received by gossip, and a host that has it.
     std::function<void(const std::string &host, const CatalogVersion &version)> catalogAdvertised;
     // True when this host is the store reader of its zone.
-    std::function<bool()> isWatcher;
+    std::function<bool()> isStoreReader;
 };
 
 // Used from the control thread only.
@@ -53,8 +53,8 @@
     void depart();
 
     std::shared_ptr<const MembershipView> view() const;
-    // See Membership::hasMetZone().
-    bool hasMetZone() const;
+    // See Membership::hasDiscoveredZone().
+    bool hasDiscoveredZone() const;
 
 private:
     void scheduleTick();
--- a/src/runtime/fleet/partitiondriver.cpp
+++ b/src/runtime/fleet/partitiondriver.cpp
@@ -22,9 +22,9 @@
     decide();
 }
 
-void PartitionDriver::onReadinessTold(bool ready)
+void PartitionDriver::onReadinessReported(bool ready)
 {
-    m_detector.onReadinessTold(ready, Clock::now());
+    m_detector.onReadinessReported(ready, Clock::now());
     decide();
 }
 
@@ -38,11 +38,11 @@
     const TimePoint now = Clock::now();
     m_detector.onTimer(now);
     logChanges();
-    if (m_detector.movesCallers(now)) {
+    if (m_detector.shouldMoveCallers(now)) {
         logNow("callers_moved");
         m_moveCallers();
     }
-    if (m_detector.asksStore(now)) {
+    if (m_detector.shouldQueryStore(now)) {
         askStore();
     }
     const TimePoint next = m_detector.nextEventAt();
@@ -64,10 +64,11 @@
 // Only whether the store answers matters; the host list is the cheapest call.
 void PartitionDriver::askStore()
 {
-    m_store.hosts(Clock::now() + m_options.askAgain, [this](const tl::expected<std::vector<ListedHost>, StoreError> &answer) {
-        m_detector.onStoreAnswer(answer.has_value(), Clock::now());
-        decide();
-    });
+    m_store.hosts(Clock::now() + m_options.storeQueryInterval,
+                  [this](const tl::expected<std::vector<ListedHost>, StoreError> &answer) {
+                      m_detector.onStoreAnswer(answer.has_value(), Clock::now());
+                      decide();
+                  });
 }
 
 void PartitionDriver::logChanges()
--- a/src/runtime/fleet/partitiondriver.h
+++ b/src/runtime/fleet/partitiondriver.h
@@ -28,7 +28,7 @@
     // The reachability of the other hosts has changed.
     void onReach(const HostReach &reach);
     // A readiness check of the load balancer was answered with `ready`.
-    void onReadinessTold(bool ready);
+    void onReadinessReported(bool ready);
     bool isCutOff() const;
 
 private:
--- a/src/runtime/fleet/peerinbound.cpp
+++ b/src/runtime/fleet/peerinbound.cpp
@@ -186,7 +186,7 @@
     const bool working = !from.served.empty() || !from.transactions.empty();
     // One interval more than the dialing host allows: the side that can report the outcome to
     // its caller should detect the loss first.
-    const Clock::duration workingSilence = m_options.pingInterval * (m_probing.mostMissed + 1);
+    const Clock::duration workingSilence = m_options.pingInterval * (m_probing.maxMissedProbes + 1);
     const Clock::duration idleSilence = m_options.idleTimeout * silentIdleTimeouts;
     const Clock::duration silence = now - from.link->lastReceivedAt();
     const bool noHello = !from.ready && now - from.acceptedAt > m_options.connectTimeout;
--- a/src/runtime/fleet/peerlink.cpp
+++ b/src/runtime/fleet/peerlink.cpp
@@ -34,7 +34,7 @@
     // Requests and answers are small and alternate; Nagle's algorithm would delay them by a
     // round trip.
     boost::system::error_code ignored;
-    setLastingOptions(m_socket);
+    setLongLivedOptions(m_socket);
     m_socket.non_blocking(true, ignored);
     read();
 }
--- a/src/runtime/fleet/peernetwork.cpp
+++ b/src/runtime/fleet/peernetwork.cpp
@@ -215,7 +215,7 @@
     writeMessage(link, message);
     // Membership itself detects unanswered heartbeats, and sends several of them a second.
     if (!std::holds_alternative<hop::Gossip>(message)) {
-        probe.doubt(Clock::now());
+        probe.markUnproven(Clock::now());
     }
 }
 
@@ -241,10 +241,10 @@
 void PeerNetwork::State::markAllUnproven(TimePoint now)
 {
     for (const auto &[host, to] : m_outbound) {
-        to->probe.doubt(now);
+        to->probe.markUnproven(now);
     }
     for (const auto &[id, from] : m_inbound) {
-        from->probe.doubt(now);
+        from->probe.markUnproven(now);
     }
 }
 
@@ -331,7 +331,7 @@
     // After a suspension of this process, data that peers sent in the meantime is still unread:
     // checking for silence now would close healthy links.
     if (now - m_lastHousekeepingAt > m_options.pingInterval * 2) {
-        m_checkSilenceFrom = now + m_options.pingInterval * m_probing.mostMissed;
+        m_checkSilenceFrom = now + m_options.pingInterval * m_probing.maxMissedProbes;
     }
     m_lastHousekeepingAt = now;
     for (const auto &[host, to] : m_outbound) {
--- a/src/runtime/fleet/peeroutbound.cpp
+++ b/src/runtime/fleet/peeroutbound.cpp
@@ -180,7 +180,7 @@
 bool PeerNetwork::State::isSilent(const Outbound &to, TimePoint now) const
 {
     if (to.link) {
-        return to.probe.isSilent();
+        return to.probe.hasMissedProbe();
     }
     return to.dialing ? to.backoff > milliseconds{0} : now < to.nextAttempt;
 }
--- a/src/runtime/fleet/quotadesk.cpp
+++ b/src/runtime/fleet/quotaservice.cpp
@@ -1,6 +1,6 @@
 // Sends requests to quota keepers and repeats unanswered ones.
 
-#include "runtime/fleet/quotadesk.h"
+#include "runtime/fleet/quotaservice.h"
 
 #include <absl/strings/str_cat.h>
 #include <boost/asio/post.hpp>
@@ -38,7 +38,7 @@
 
 } // namespace
 
-QuotaDesk::QuotaDesk(boost::asio::io_context &link, std::string self, QuotaKeeperOptions options, QuotaDeskHooks hooks)
+QuotaService::QuotaService(boost::asio::io_context &link, std::string self, QuotaKeeperOptions options, QuotaServiceHooks hooks)
     : m_self(std::move(self))
     , m_hooks(std::move(hooks))
     , m_link(link)
@@ -48,19 +48,19 @@
 {
 }
 
-void QuotaDesk::configure(const Configuration &configuration)
+void QuotaService::configure(const Configuration &configuration)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_keeper.configure(configuration);
 }
 
-void QuotaDesk::keep(const std::bitset<quotaSlots> &slots, double part)
+void QuotaService::setKeptSlots(const std::bitset<quotaSlots> &slots, double part)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_keeper.keep(slots, part, Clock::now());
+    m_keeper.setKeptSlots(slots, part, Clock::now());
 }
 
-void QuotaDesk::admit(const std::string &workspace, TimePoint until, AdmitHandler handler)
+void QuotaService::admit(const std::string &workspace, TimePoint until, AdmitHandler handler)
 {
     std::vector<Outcome> outcomes;
     {
@@ -68,7 +68,7 @@
         const TimePoint now = Clock::now();
         if (!m_keeper.isLimited(workspace)) {
             outcomes.push_back({std::move(handler), {}});
-        } else if (const auto after = m_backoff.refusesHere(workspace, now)) {
+        } else if (const auto after = m_backoff.localRefusal(workspace, now)) {
             outcomes.push_back({std::move(handler), tl::unexpected(quotaExceeded(workspace, *after))});
         } else {
             const std::uint64_t id = ++m_lastId;
@@ -80,7 +80,7 @@
     complete(std::move(outcomes));
 }
 
-void QuotaDesk::askKeeper(std::uint64_t id, Waiting &waiting, TimePoint now, std::vector<Outcome> &outcomes)
+void QuotaService::askKeeper(std::uint64_t id, Waiting &waiting, TimePoint now, std::vector<Outcome> &outcomes)
 {
     const std::string keeper = m_hooks.keeperOf(quotaSlotOf(waiting.workspace));
     if (keeper == m_self) {
@@ -92,21 +92,21 @@
     if (!keeper.empty()) {
         m_hooks.send(keeper, hop::QuotaAsk{id, waiting.workspace});
     }
-    if (m_grace.take(waiting.workspace)) {
+    if (m_grace.tryStart(waiting.workspace)) {
         outcomes.push_back({std::exchange(waiting.handler, nullptr), {}});
         waiting.granted = true;
     }
 }
 
 // Applies a verdict of a keeper; removes the request when its outcome is final.
-void QuotaDesk::applyVerdict(std::uint64_t id, const QuotaVerdict &verdict, TimePoint now, std::vector<Outcome> &outcomes)
+void QuotaService::applyVerdict(std::uint64_t id, const QuotaVerdict &verdict, TimePoint now, std::vector<Outcome> &outcomes)
 {
     const auto found = m_waiting.find(id);
     if (found == m_waiting.end()) {
         return;
     }
     Waiting &waiting = found->second;
-    m_grace.heard(waiting.workspace, verdict, now);
+    m_grace.onVerdict(waiting.workspace, verdict, now);
     if (waiting.granted) {
         return;
     }
@@ -115,7 +115,7 @@
         waiting.nextAt = now + disagreementRetry;
         return;
     case QuotaVerdict::Kind::Refused:
-        m_backoff.refused(waiting.workspace, verdict.after, now);
+        m_backoff.onRefused(waiting.workspace, verdict.after, now);
         outcomes.push_back({std::move(waiting.handler), tl::unexpected(quotaExceeded(waiting.workspace, verdict.after))});
         break;
     case QuotaVerdict::Kind::Granted:
@@ -130,13 +130,13 @@
     m_waiting.erase(found);
 }
 
-hop::QuotaReply QuotaDesk::onAsk(const hop::QuotaAsk &ask)
+hop::QuotaReply QuotaService::onAsk(const hop::QuotaAsk &ask)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     return {ask.id, m_keeper.ask(ask.workspace, Clock::now())};
 }
 
-void QuotaDesk::onReply(const hop::QuotaReply &reply)
+void QuotaService::onReply(const hop::QuotaReply &reply)
 {
     std::vector<Outcome> outcomes;
     {
@@ -149,7 +149,7 @@
 
 // One timer serves all waiting requests; it is not set while none waits. A timer that fires too
 // early costs one check, which is cheaper than setting it again for each request.
-void QuotaDesk::armTimer()
+void QuotaService::armTimer()
 {
     TimePoint next = TimePoint::max();
     for (const auto &[id, waiting] : m_waiting) {
@@ -169,7 +169,7 @@
     });
 }
 
-void QuotaDesk::onTimer()
+void QuotaService::onTimer()
 {
     const TimePoint now = Clock::now();
     std::vector<Outcome> outcomes;
@@ -185,7 +185,7 @@
         for (const std::uint64_t id : due) {
             Waiting &waiting = m_waiting.at(id);
             if (!waiting.granted && now < waiting.until) {
-                m_grace.unanswered(waiting.workspace, now);
+                m_grace.onKeeperTimeout(waiting.workspace, now);
                 askKeeper(id, waiting, now, outcomes);
                 continue;
             }
@@ -204,7 +204,7 @@
     complete(std::move(outcomes));
 }
 
-void QuotaDesk::complete(std::vector<Outcome> outcomes)
+void QuotaService::complete(std::vector<Outcome> outcomes)
 {
     for (Outcome &outcome : outcomes) {
         outcome.handler(std::move(outcome.result));
--- a/src/runtime/fleet/quotadesk.h
+++ b/src/runtime/fleet/quotaservice.h
@@ -23,7 +23,7 @@
 namespace egrettide
 {
 
-struct QuotaDeskHooks {
+struct QuotaServiceHooks {
     // Returns the keeper of a slot; empty when none is known. Called on any thread.
     std::function<std::string(std::size_t slot)> keeperOf;
     // Sends a message to another host; it may be lost. Called on any thread.
@@ -32,20 +32,20 @@
 
 // Thread-safe except for the constructor and destructor. `link` must outlive this object and
 // be stopped before its destruction.
-class QuotaDesk
+class QuotaService
 {
 public:
     // Receives no error when the request may start, QuotaExceeded when the workspace has exceeded
     // its quota, and Overloaded when no keeper answered in time. On an error nothing has run.
     using AdmitHandler = std::function<void(tl::expected<void, Error>)>;
 
-    QuotaDesk(boost::asio::io_context &link, std::string self, QuotaKeeperOptions options, QuotaDeskHooks hooks);
-    QuotaDesk(const QuotaDesk &) = delete;
-    QuotaDesk &operator=(const QuotaDesk &) = delete;
+    QuotaService(boost::asio::io_context &link, std::string self, QuotaKeeperOptions options, QuotaServiceHooks hooks);
+    QuotaService(const QuotaService &) = delete;
+    QuotaService &operator=(const QuotaService &) = delete;
 
     void configure(const Configuration &configuration);
-    // Sets the slots that this host keeps; see QuotaKeeper::keep.
-    void keep(const std::bitset<quotaSlots> &slots, double part);
+    // Sets the slots that this host keeps; see QuotaKeeper::setKeptSlots().
+    void setKeptSlots(const std::bitset<quotaSlots> &slots, double part);
 
     // Counts one request. `handler` is called once: from within this call when the answer is
     // known locally, otherwise later, at the latest shortly after `until`.
@@ -79,7 +79,7 @@
     static void complete(std::vector<Outcome> outcomes);
 
     const std::string m_self;
-    const QuotaDeskHooks m_hooks;
+    const QuotaServiceHooks m_hooks;
     boost::asio::io_context &m_link;
     std::mutex m_mutex;
     // Guarded by m_mutex, like all below.
--- a/src/runtime/group/grouphint.cpp
+++ b/src/runtime/group/grouphint.cpp
@@ -18,7 +18,7 @@
         entry.replayed = member.replayed;
         entry.age = gate.provenAge(snapshot, member, now).value_or(unprovenAge);
         // Of whom nothing is known, its own home will say more.
-        entry.reachable = member.reachable || !member.judged;
+        entry.reachable = member.reachable || !member.reachabilityKnown;
         entry.leaving = member.leaving;
         hint.members.push_back(std::move(entry));
     }
--- a/src/runtime/group/groupobserver.cpp
+++ b/src/runtime/group/groupobserver.cpp
@@ -123,14 +123,14 @@
     });
 }
 
-void GroupObserver::Impl::hurry(TimePoint until)
+void GroupObserver::Impl::requestRounds(TimePoint until)
 {
-    m_hurrySince.store(Clock::now());
+    m_urgentSince.store(Clock::now());
     // Only a later time than the last one, or a need after the last proof, is worth a
     // handover.
-    const bool isServed = m_hurryServed.exchange(false);
-    auto known = m_hurryUntil.load();
-    while (known < until && !m_hurryUntil.compare_exchange_weak(known, until)) { }
+    const bool isServed = m_urgentServed.exchange(false);
+    auto known = m_urgentUntil.load();
+    while (known < until && !m_urgentUntil.compare_exchange_weak(known, until)) { }
     if (isServed || known < until) {
         asio::post(m_context, [self = shared_from_this()] { self->tick(); });
     }
@@ -151,8 +151,8 @@
     if (suspicion) {
         return suspicion->term == question.term && suspicion->primary == question.primary;
     }
-    if (m_settings.monitor.asksOnlySilent) {
-        m_monitor.onTrouble(now);
+    if (m_settings.monitor.probesOnlySilent) {
+        m_monitor.onRequestFailed(now);
         asio::post(m_context, [self = shared_from_this()] { self->tick(); });
     }
     return false;
@@ -219,9 +219,9 @@
     m_impl->awaitCommit(sentUnder, after, deadline, std::move(handler));
 }
 
-void GroupObserver::hurry(TimePoint until)
+void GroupObserver::requestRounds(TimePoint until)
 {
-    m_impl->hurry(until);
+    m_impl->requestRounds(until);
 }
 
 void GroupObserver::onStatementAnswer(const StatementProof &proof)
--- a/src/runtime/group/groupobserver.h
+++ b/src/runtime/group/groupobserver.h
@@ -118,7 +118,7 @@
     // once on the control thread, at the latest shortly after `deadline`.
     void awaitCommit(Term sentUnder, const MemberStatus &after, TimePoint deadline, CommitHandler handler);
     // From any thread: somebody waits for a newer view until then.
-    void hurry(TimePoint until);
+    void requestRounds(TimePoint until);
     // From any thread: an upstream of this host answered a statement.
     void onStatementAnswer(const StatementProof &proof);
     // From any thread: the newest snapshot, never null.
--- a/src/runtime/group/groupobserverimpl.h
+++ b/src/runtime/group/groupobserverimpl.h
@@ -47,7 +47,7 @@
     void stop();
     void update(const DatabaseSpec &database, const std::set<std::string> &homes);
     void awaitCommit(Term sentUnder, const MemberStatus &after, TimePoint deadline, CommitHandler handler);
-    void hurry(TimePoint until);
+    void requestRounds(TimePoint until);
     void tellAnswer(const StatementProof &proof);
     void onStatementAnswer(const StatementProof &proof);
     std::shared_ptr<const GroupSnapshot> snapshot() const;
@@ -62,7 +62,7 @@
     void tick();
     void noticeClockGap(TimePoint now);
     bool someoneWaits(TimePoint now) const;
-    bool isHurried(TimePoint now) const;
+    bool isUrgent(TimePoint now) const;
     bool awaitsChange() const;
     void noteServedHurry();
     RoundScope roundScope(TimePoint now);
@@ -117,7 +117,7 @@
     void carryOut(const HandOver &action);
     void resumeWrites();
     void carryOut(const StartPromotion &action);
-    void carryOut(const WatchMarks &);
+    void carryOut(const RequestFrequentRounds &);
     void carryOut(const SwitchoverDone &action);
 
     boost::asio::io_context &m_context;
@@ -144,10 +144,10 @@
     TimePoint m_armedFor;
     bool m_roundNow = false;
     // Rounds follow each other closely until then.
-    std::atomic<TimePoint> m_hurryUntil{TimePoint::min()};
+    std::atomic<TimePoint> m_urgentUntil{TimePoint::min()};
     // When a proof was last asked for, and whether a newer one has come.
-    std::atomic<TimePoint> m_hurrySince{TimePoint::min()};
-    std::atomic<bool> m_hurryServed{false};
+    std::atomic<TimePoint> m_urgentSince{TimePoint::min()};
+    std::atomic<bool> m_urgentServed{false};
 
     // The view that was last looked at.
     std::shared_ptr<const GroupSnapshot> m_seen;
--- a/src/runtime/group/groupobserverrounds.cpp
+++ b/src/runtime/group/groupobserverrounds.cpp
@@ -50,20 +50,20 @@
 
 bool GroupObserver::Impl::someoneWaits(TimePoint now) const
 {
-    return m_gate.waiting() > 0 || isHurried(now) || awaitsChange();
+    return m_gate.waiting() > 0 || isUrgent(now) || awaitsChange();
 }
 
 // Opinions, claims and fences bring their own answers. Asking the group every 20 ms for as
 // long as a promotion can't be had, as in a zone that is cut off, tells nothing new.
 bool GroupObserver::Impl::awaitsChange() const
 {
-    const bool promotes = m_settings.monitor.asksOnlySilent ? m_promoter->awaitsGroup() : m_promoter->running();
+    const bool promotes = m_settings.monitor.probesOnlySilent ? m_promoter->awaitsPromotion() : m_promoter->running();
     return promotes || m_switchover.running();
 }
 
-bool GroupObserver::Impl::isHurried(TimePoint now) const
+bool GroupObserver::Impl::isUrgent(TimePoint now) const
 {
-    return now < m_hurryUntil.load() && !m_hurryServed.load();
+    return now < m_urgentUntil.load() && !m_urgentServed.load();
 }
 
 // What goes wrong without it: a connection breaks, and the group is asked every 20 ms for
@@ -73,8 +73,8 @@
 void GroupObserver::Impl::noteServedHurry()
 {
     const auto proof = m_monitor.newestWatermark();
-    if (m_settings.monitor.asksOnlySilent && proof && proof->sentAt > m_hurrySince.load()) {
-        m_hurryServed.store(true);
+    if (m_settings.monitor.probesOnlySilent && proof && proof->sentAt > m_urgentSince.load()) {
+        m_urgentServed.store(true);
     }
 }
 
--- a/src/runtime/host/hostdaemon.cpp
+++ b/src/runtime/host/hostdaemon.cpp
@@ -121,10 +121,10 @@
 {
     QuotaKeeperOptions options;
     options.bounds = m_settings.quota;
-    m_quotas = std::make_unique<QuotaDesk>(
+    m_quotas = std::make_unique<QuotaService>(
         m_link, m_settings.host, options,
-        QuotaDeskHooks{[this](std::size_t slot) { return routes()->quotaKeepers[slot]; },
-                       [this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); }});
+        QuotaServiceHooks{[this](std::size_t slot) { return routes()->quotaKeepers[slot]; },
+                          [this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); }});
 }
 
 void HostDaemon::Impl::makeHomes()
@@ -155,11 +155,11 @@
     settings.observer.seed = m_random();
     settings.observer.monitor.idleInterval = m_settings.idleProbe;
     settings.observer.dialect = m_dialect;
-    settings.observer.monitor.leaderProvesItself = m_dialect->leaderProvesItself;
-    if (m_dialect->leaderProvesItself) {
+    settings.observer.monitor.primaryProvesItself = m_dialect->primaryProvesItself;
+    if (m_dialect->primaryProvesItself) {
         settings.observer.monitor.busyInterval = slotBoundInterval;
-        settings.observer.monitor.hurryInterval = slotBoundInterval;
-        settings.observer.monitor.asksOnlySilent = true;
+        settings.observer.monitor.urgentInterval = slotBoundInterval;
+        settings.observer.monitor.probesOnlySilent = true;
     }
     if (m_dialect->control.promote) {
         settings.observer.promoter.promoteBy = PromoteBy::ThirdParty;
@@ -167,7 +167,7 @@
     }
     settings.home.dialect = m_dialect;
     settings.home.gate.upstreamChecksMarks = m_dialect->checksMarks;
-    if (m_dialect->leaderProvesItself) {
+    if (m_dialect->primaryProvesItself) {
         settings.home.budget = lingeringBudget();
     }
     if (m_dialect->slotsAreExact) {
@@ -198,12 +198,12 @@
     hooks.configuration = [this] { return routes()->configuration; };
     hooks.execute = [this](StatementRequest request, ReplyHandler handler) { execute(std::move(request), std::move(handler)); };
     hooks.cancel = [this](std::uint64_t id) { cancel(id); };
-    hooks.admit = [this](const std::string &workspace, TimePoint until, QuotaDesk::AdmitHandler handler) {
+    hooks.admit = [this](const std::string &workspace, TimePoint until, QuotaService::AdmitHandler handler) {
         m_quotas->admit(workspace, until, std::move(handler));
     };
     hooks.takeRetry = [this] {
         const std::lock_guard<std::mutex> lock(m_retryMutex);
-        return m_retries.mayRetry({});
+        return m_retries.takeRetry({});
     };
     hooks.observe = [this](const RequestObservation &observation) {
         m_metrics.observe(observation);
@@ -298,21 +298,22 @@
     m_joinGate = std::make_unique<JoinGate>(m_settings.zone, joining, Clock::now());
     m_membership = std::make_unique<MembershipDriver>(
         m_control, *m_store, std::move(self), m_random(),
-        MembershipDriverHooks{
-            [this](const std::string &host, const std::string &address, hop::HopMessage message) {
-                sendTo(host, address, std::move(message));
-            },
-            [this](const std::shared_ptr<const MembershipView> &view) { onView(view); },
-            [this](const HostReach &reach) { m_partition->onReach(reach); },
-            [this](const std::string &host, const CatalogVersion &version) { m_configurationSource->heardOf(host, version); },
-            [this] { return isWatcher(); }});
-    ReaderDutyOptions reader;
+        MembershipDriverHooks{[this](const std::string &host, const std::string &address, hop::HopMessage message) {
+                                  sendTo(host, address, std::move(message));
+                              },
+                              [this](const std::shared_ptr<const MembershipView> &view) { onView(view); },
+                              [this](const HostReach &reach) { m_partition->onReach(reach); },
+                              [this](const std::string &host, const CatalogVersion &version) {
+                                  m_configurationSource->noteKnownVersion(host, version);
+                              },
+                              [this] { return isStoreReader(); }});
+    ReaderSelectionOptions reader;
     m_mechanisms.applyTo(reader);
     m_configurationSource = m_parts.makeConfiguration(
         m_control, *m_store,
         ConfigurationKeeperHooks{[this](const std::shared_ptr<const Configuration> &) { onConfiguration(); },
                                  [this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); },
-                                 [this](std::size_t count) { return someHosts(count); }, [this] { return isWatcher(); },
+                                 [this](std::size_t count) { return someHosts(count); }, [this] { return isStoreReader(); },
                                  [this] { return zoneHosts(); }, [this] { m_membership->registerAgain(); }, reader,
                                  bulkBytesPerSecond(m_settings.linkMbps)});
     rebuildRoutes();
--- a/src/runtime/host/hostdaemonimpl.h
+++ b/src/runtime/host/hostdaemonimpl.h
@@ -16,7 +16,7 @@
 #include "runtime/fleet/membershipdriver.h"
 #include "runtime/fleet/partitiondriver.h"
 #include "runtime/fleet/peernetwork.h"
-#include "runtime/fleet/quotadesk.h"
+#include "runtime/fleet/quotaservice.h"
 #include "runtime/group/groupcoordination.h"
 #include "runtime/group/switchoverdesk.h"
 #include "runtime/host/address.h"
@@ -132,7 +132,7 @@
     void updateKeptQuotas();
     void joinWhenDue();
     void scheduleRecordLog();
-    bool isWatcher() const;
+    bool isStoreReader() const;
     ZoneHosts zoneHosts() const;
     std::vector<std::string> otherHosts() const;
     std::vector<std::string> someHosts(std::size_t count);
@@ -178,7 +178,7 @@
     std::unique_ptr<Store> m_store;
     std::shared_ptr<const UpstreamDialect> m_dialect;
     std::unique_ptr<PeerNetwork> m_network;
-    std::unique_ptr<QuotaDesk> m_quotas;
+    std::unique_ptr<QuotaService> m_quotas;
     std::unique_ptr<MembershipDriver> m_membership;
     std::unique_ptr<PartitionDriver> m_partition;
     std::unique_ptr<ConfigurationSource> m_configurationSource;
--- a/src/runtime/host/hostoperations.cpp
+++ b/src/runtime/host/hostoperations.cpp
@@ -16,7 +16,7 @@
         respond(OperatorResponse{200, "application/json", R"({"status":"ok"})"});
     } else if (request.path == "/ready" || request.path == m_settings.readyPath) {
         const bool ready = now->configuration != nullptr && !m_leaving && !m_partition->isCutOff();
-        m_partition->onReadinessTold(ready);
+        m_partition->onReadinessReported(ready);
         respond(OperatorResponse{ready ? 200U : 503U, "application/json", ready ? R"({"ready":true})" : R"({"ready":false})"});
     } else if (request.path == "/metrics") {
         respondMetrics(respond);
--- a/src/runtime/host/hostview.cpp
+++ b/src/runtime/host/hostview.cpp
@@ -52,7 +52,7 @@
             asio::post(m_link, [this, name = host.name] { m_network->drop(name); });
         }
     }
-    m_joinGate->onView(*view, m_membership->hasMetZone(), Clock::now());
+    m_joinGate->onView(*view, m_membership->hasDiscoveredZone(), Clock::now());
     joinWhenDue();
     // After a suspension of the process the view may be out of date. The previous routes stay in
     // force until a peer has answered; homes that moved in the meantime answer Moved.
@@ -73,7 +73,7 @@
     for (std::size_t slot = 0; slot < quotaSlots && m_joined && view->trusted; ++slot) {
         kept.set(slot, now->quotaKeepers[slot] == m_settings.host);
     }
-    m_quotas->keep(kept, partInView(*view));
+    m_quotas->setKeptSlots(kept, visibleFraction(*view));
 }
 
 void HostDaemon::Impl::rebuildRoutes()
@@ -92,7 +92,7 @@
     }
 }
 
-bool HostDaemon::Impl::isWatcher() const
+bool HostDaemon::Impl::isStoreReader() const
 {
     return routes()->placement->homeOf(watchKey, m_settings.zone) == m_settings.host;
 }
@@ -176,7 +176,7 @@
     for (const DatabaseSpec &database : now->configuration->databases) {
         for (const UpstreamSpec &upstream : database.upstreams) {
             if (now->homeOf(upstream) == m_settings.host) {
-                m_homes->confirmedHome(database.name, upstream.name, *confirmedAt);
+                m_homes->onHomeConfirmed(database.name, upstream.name, *confirmedAt);
             }
         }
     }
--- a/src/runtime/host/mechanisms.cpp
+++ b/src/runtime/host/mechanisms.cpp
@@ -35,18 +35,18 @@
         homes.home.gate.waitPolicy = WaitPolicy::Never;
     }
     if (isOff("answers-as-probes")) {
-        homes.observer.monitor.asksOnlySilent = false;
+        homes.observer.monitor.probesOnlySilent = false;
     }
 }
 
 void Mechanisms::applyTo(RouterOptions &router) const
 {
     if (isOff("behind-replicas")) {
-        router.behindFor = milliseconds{0};
-        router.behindForLongest = milliseconds{0};
+        router.notFreshBackoff = milliseconds{0};
+        router.maximumNotFreshBackoff = milliseconds{0};
     }
     if (isOff("avoidance")) {
-        router.avoidFor = milliseconds{0};
+        router.failureBackoff = milliseconds{0};
     }
     if (isOff("zone-affinity")) {
         router.crossZoneCost = std::chrono::microseconds{0};
@@ -64,7 +64,7 @@
 void Mechanisms::applyTo(JoinOptions &joining) const
 {
     if (isOff("join-gate")) {
-        joining.bound = milliseconds{0};
+        joining.maxDelay = milliseconds{0};
         joining.settleTime = milliseconds{0};
     }
 }
@@ -74,9 +74,9 @@
     partition.enabled = !isOff("move-callers");
 }
 
-void Mechanisms::applyTo(ReaderDutyOptions &reader) const
+void Mechanisms::applyTo(ReaderSelectionOptions &reader) const
 {
-    reader.everybodyReads = isOff("zone-readers");
+    reader.allHostsRead = isOff("zone-readers");
 }
 
 } // namespace egrettide
--- a/src/runtime/host/mechanisms.h
+++ b/src/runtime/host/mechanisms.h
@@ -5,7 +5,7 @@
 
 #include "egrettide/core/joingate.h"
 #include "egrettide/core/partitiondetector.h"
-#include "egrettide/core/readerduty.h"
+#include "egrettide/core/readerselection.h"
 #include "egrettide/core/router.h"
 #include "runtime/fleet/peernetwork.h"
 #include "runtime/upstreams/homeservice.h"
@@ -33,7 +33,7 @@
     void applyTo(PeerNetworkOptions &network) const;
     void applyTo(JoinOptions &joining) const;
     void applyTo(PartitionOptions &partition) const;
-    void applyTo(ReaderDutyOptions &reader) const;
+    void applyTo(ReaderSelectionOptions &reader) const;
     bool isOff(std::string_view name) const;
 
 private:
--- a/src/runtime/host/socketoptions.cpp
+++ b/src/runtime/host/socketoptions.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-void setLastingOptions(asio::ip::tcp::socket &socket)
+void setLongLivedOptions(asio::ip::tcp::socket &socket)
 {
     applyKeepalive(socket, longLivedKeepalive);
 }
--- a/src/runtime/host/socketoptions.h
+++ b/src/runtime/host/socketoptions.h
@@ -13,7 +13,7 @@
 // a connection hangs for minutes, and its requests end at their deadlines while new connections
 // would work. Keepalive probes after a short silence and a limit on the age of unacknowledged
 // data break the connection within a few seconds.
-void setLastingOptions(boost::asio::ip::tcp::socket &socket);
+void setLongLivedOptions(boost::asio::ip::tcp::socket &socket);
 
 // For connections to the store, on which a host waits for changes of the configuration: as
 // above, but broken sooner, so that changes still take effect in time.
--- a/src/runtime/operators/operatorcommands.cpp
+++ b/src/runtime/operators/operatorcommands.cpp
@@ -2,7 +2,7 @@
 
 #include "runtime/operators/operatorcommands.h"
 
-#include "egrettide/core/logstory.h"
+#include "egrettide/core/requesttrace.h"
 
 #include "egrettide/core/configurationfile.h"
 #include "runtime/configuration/applyrunner.h"
@@ -405,19 +405,19 @@
 
 CommandResult OperatorCommands::explain(const std::string &requestId, const std::vector<std::string> &logs)
 {
-    LogStory story(requestId);
+    RequestTrace trace(requestId);
     for (const std::string &log : logs) {
         std::istringstream lines(log);
         for (std::string line; std::getline(lines, line);) {
-            story.take(line);
+            trace.addLine(line);
         }
     }
     CommandResult result;
-    result.output = story.tell();
-    if (story.skipped() > 0) {
-        result.complaint = std::to_string(story.skipped()) + " lines are no log lines and were skipped\n";
+    result.output = trace.describe();
+    if (trace.skipped() > 0) {
+        result.complaint = std::to_string(trace.skipped()) + " lines are no log lines and were skipped\n";
     }
-    if (!story.found()) {
+    if (!trace.found()) {
         result.code = ExitCode::Refused;
         result.complaint += "no line is about request " + requestId
             + "; give the logs of all hosts of that time, and look for failures_not_logged and lines_dropped in them\n";
--- a/src/runtime/operators/operatorcommands.h
+++ b/src/runtime/operators/operatorcommands.h
@@ -79,7 +79,7 @@
     // Makes `to`, or the best replica when it is empty, the database's primary.
     CommandResult switchover(const std::string &database, const std::string &to) const;
 
-    // Tells the story of a request out of hosts' log lines, of which each text holds any
+    // Builds the trace of a request from hosts' log lines, of which each text holds any
     // number; needs neither host nor platform.
     static CommandResult explain(const std::string &requestId, const std::vector<std::string> &logs);
 
--- a/src/runtime/operators/servicerecord.cpp
+++ b/src/runtime/operators/servicerecord.cpp
@@ -50,13 +50,13 @@
             m_writes += writes ? 1 : 0;
         }
         if (writes) {
-            outage = m_gaps[observation.database].onWrite(!observation.error, now);
+            outage = m_outages[observation.database].onWrite(!observation.error, now);
         }
     }
     if (outage) {
         log::info("writes_resumed",
                   {{"database", observation.database},
-                   {"without_ms", static_cast<long>(outage->lasted.count())},
+                   {"without_ms", static_cast<long>(outage->duration.count())},
                    {"failed_writes", outage->failedWrites}});
     }
 }
--- a/src/runtime/operators/servicerecord.h
+++ b/src/runtime/operators/servicerecord.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "egrettide/core/writegap.h"
+#include "egrettide/core/writeoutagetracker.h"
 #include "runtime/callers/front.h"
 
 #include <absl/container/flat_hash_map.h>
@@ -40,7 +40,7 @@
     // By kind of error.
     std::map<std::string, std::uint64_t, std::less<>> m_failures;
     // By database.
-    absl::flat_hash_map<std::string, WriteGap> m_gaps;
+    absl::flat_hash_map<std::string, WriteOutageTracker> m_outages;
 };
 
 } // namespace egrettide
--- a/src/runtime/sessions/callersession.cpp
+++ b/src/runtime/sessions/callersession.cpp
@@ -241,7 +241,7 @@
 
 CallerSession::BatchKind CallerSession::kindOf(const pg::BatchPlan &plan)
 {
-    if (plan.executesUnknown) {
+    if (plan.executesUnknownStatement) {
         // The upstream refuses an unknown portal as well.
         return {StatementKind::Write, false, false};
     }
@@ -405,7 +405,7 @@
 {
     rollBack();
     const FailedStatement failed{pending.request.kind, pending.multiStatement, reply.sent};
-    m_aborted = leavesAborted(failed.kind) && !m_shard->common->options.faults.forgetsLostTransactions;
+    m_aborted = leavesAborted(failed.kind) && !m_shard->common->options.faults.ignoresLostTransactions;
     return errorInTransaction(failed, *reply.error);
 }
 
--- a/src/runtime/sessions/statementsession.cpp
+++ b/src/runtime/sessions/statementsession.cpp
@@ -31,7 +31,7 @@
     }
     // A session is a connection: work of the same caller over another connection belongs
     // to another session.
-    defaults.startsKnown = true;
+    defaults.startsWithCompleteFloor = true;
     // Routes guarantee a maximum age and the session's own writes, not monotonic reads.
     defaults.readsRaiseFloor = false;
     return defaults;
@@ -96,11 +96,11 @@
 } // namespace
 
 StatementSession::StatementSession(std::shared_ptr<TrafficShard> shard, const Configuration &configuration, std::string routeName,
-                                   std::string key, StatementWording wording)
+                                   std::string key, TransactionStatements statements)
     : m_shard(std::move(shard))
     , m_routeName(std::move(routeName))
     , m_key(std::move(key))
-    , m_wording(std::move(wording))
+    , m_transactionStatements(std::move(statements))
     , m_workspace(workspaceFor(configuration, m_routeName, m_key).value_or(std::string()))
     , m_state(defaultsOf(*configuration.route(m_routeName)), m_shard->common->tokens, m_shard->now())
     , m_route(*configuration.route(m_routeName))
@@ -309,7 +309,8 @@
 tl::expected<void, Error> StatementSession::writeBatch(CallerStatement &statement, StatementRequest &request) const
 {
     if (begins(request.kind)) {
-        request.batch = request.kind == StatementKind::Begin ? m_wording.begin : m_wording.beginReadOnly;
+        request.batch =
+            request.kind == StatementKind::Begin ? m_transactionStatements.begin : m_transactionStatements.beginReadOnly;
         return {};
     }
     request.batch = std::move(statement.batch);
@@ -384,7 +385,7 @@
                   {"floor", textOf(pending.freshness.floor)},
                   {"max_age_ms", pending.freshness.maxAge.value_or(milliseconds{-1}).count()},
                   {"attempts", reply.attempts},
-                  {"tried", reply.tried},
+                  {"tried", reply.attemptHistory},
                   {"in_transaction", m_state.inTransaction()},
                   {"sent", reply.sent},
                   {"waited_ms", waited.count()},
--- a/src/runtime/sessions/statementsession.h
+++ b/src/runtime/sessions/statementsession.h
@@ -41,7 +41,7 @@
 };
 
 // Texts, in the syntax of the protocol, of the statements that begin a transaction.
-struct StatementWording {
+struct TransactionStatements {
     std::string begin;
     std::string beginReadOnly;
 };
@@ -66,7 +66,7 @@
     // `routeName` must name a route of `configuration`, and the route must accept `key`;
     // see workspaceFor().
     StatementSession(std::shared_ptr<TrafficShard> shard, const Configuration &configuration, std::string routeName,
-                     std::string key, StatementWording wording);
+                     std::string key, TransactionStatements statements);
     StatementSession(const StatementSession &) = delete;
     StatementSession &operator=(const StatementSession &) = delete;
 
@@ -117,7 +117,7 @@
     const std::string m_routeName;
     // The key that the caller presented; a secret.
     const std::string m_key;
-    const StatementWording m_wording;
+    const TransactionStatements m_transactionStatements;
     // The workspace of m_key; empty when it belongs to none.
     std::string m_workspace;
     // The configuration that m_workspace was looked up in.
--- a/src/runtime/upstreams/homeservice.cpp
+++ b/src/runtime/upstreams/homeservice.cpp
@@ -81,7 +81,7 @@
     void giveOpinion(const OpinionQuestion &question, std::function<void(std::optional<bool>)> handler);
     void onAnnounce(const std::string &database, Term term, const std::string &primary);
     void switchover(const std::string &database, const std::string &to, GroupObserver::DoneHandler handler);
-    void confirmedHome(const HomeKey &key, TimePoint askedAt);
+    void onHomeConfirmed(const HomeKey &key, TimePoint askedAt);
     void handedBack(const HomeKey &key, const HandBack &handBack);
     std::shared_ptr<const GroupSnapshot> snapshot(const std::string &database) const;
     void stats(std::function<void(std::vector<UpstreamHomeStats>)> handler) const;
@@ -276,7 +276,7 @@
         observer->awaitCommit(sentUnder, after, deadline, std::move(handler));
     };
     hooks.answered = [observer](const StatementProof &proof) { observer->onStatementAnswer(proof); };
-    hooks.hurry = [observer](TimePoint until) { observer->hurry(until); };
+    hooks.requestRounds = [observer](TimePoint until) { observer->requestRounds(until); };
     hooks.handedBack = [key, handedBack = m_hooks.handedBack](const HandBack &handBack) {
         if (handedBack) {
             handedBack(key.database, key.upstream, handBack);
@@ -389,10 +389,10 @@
     });
 }
 
-void HomeService::Impl::confirmedHome(const HomeKey &key, TimePoint askedAt)
+void HomeService::Impl::onHomeConfirmed(const HomeKey &key, TimePoint askedAt)
 {
     if (const auto entry = homeOf(key)) {
-        onHome(*entry, [askedAt](UpstreamHome &home) { home.confirmedHome(askedAt); });
+        onHome(*entry, [askedAt](UpstreamHome &home) { home.onHomeConfirmed(askedAt); });
     }
 }
 
@@ -542,9 +542,9 @@
     m_impl->switchover(database, to, std::move(handler));
 }
 
-void HomeService::confirmedHome(const std::string &database, const std::string &upstream, TimePoint askedAt)
+void HomeService::onHomeConfirmed(const std::string &database, const std::string &upstream, TimePoint askedAt)
 {
-    m_impl->confirmedHome(HomeKey{database, upstream}, askedAt);
+    m_impl->onHomeConfirmed(HomeKey{database, upstream}, askedAt);
 }
 
 void HomeService::handedBack(const std::string &database, const std::string &upstream, const HandBack &handBack)
--- a/src/runtime/upstreams/homeservice.h
+++ b/src/runtime/upstreams/homeservice.h
@@ -75,7 +75,7 @@
     void switchover(const std::string &database, const std::string &to, std::function<void(tl::expected<void, Error>)> handler);
 
     // Reports of other hosts about where a home is placed; see ConnectionBudget.
-    void confirmedHome(const std::string &database, const std::string &upstream, TimePoint askedAt);
+    void onHomeConfirmed(const std::string &database, const std::string &upstream, TimePoint askedAt);
     void handedBack(const std::string &database, const std::string &upstream, const HandBack &handBack);
 
     // The newest snapshot of a group that this host observes, or null.
--- a/src/runtime/upstreams/upstreamconnection.cpp
+++ b/src/runtime/upstreams/upstreamconnection.cpp
@@ -119,7 +119,7 @@
 
 void UpstreamConnection::startLogin()
 {
-    setLastingOptions(m_socket);
+    setLongLivedOptions(m_socket);
     std::string startup;
     pg::appendStartup(startup, {{"user", m_settings.user}, {"database", m_settings.database}, {"application_name", "egrettide"}});
     enqueueWrite(std::move(startup));
--- a/src/runtime/upstreams/upstreamdialect.h
+++ b/src/runtime/upstreams/upstreamdialect.h
@@ -26,7 +26,7 @@
     bool checksMarks = false;
     // True when a replaced primary never reports itself as the primary: the report of an
     // upstream then proves that it is the primary, and no majority is asked.
-    bool leaderProvesItself = false;
+    bool primaryProvesItself = false;
     // True when upstreams need the workspace of each statement: a connection is then
     // opened in the name of one workspace and used only for it.
     bool connectsAsWorkspace = false;
--- a/src/runtime/upstreams/upstreamhome.cpp
+++ b/src/runtime/upstreams/upstreamhome.cpp
@@ -87,7 +87,7 @@
     const ConnectionDemand demand{m_scheduler.inUse(), m_scheduler.queued(), static_cast<int>(m_transactions.size()),
                                   m_upstream.slots};
     budget.demand(connectionsFor(demand), now);
-    const int places = budget.transactionPlaces(m_upstream.slots, now);
+    const int places = budget.transactionLimit(m_upstream.slots, now);
     if (places != m_transactionLimit) {
         m_transactionLimit = places;
         apply(m_scheduler.configure(schedulerOptions(), now));
@@ -220,8 +220,8 @@
     pending.stage = RequestStage::AwaitingFreshness;
     pending.recheckAt = until;
     m_rechecks.emplace(until, ticket);
-    if (m_hooks.hurry) {
-        m_hooks.hurry(until);
+    if (m_hooks.requestRounds) {
+        m_hooks.requestRounds(until);
     }
 }
 
--- a/src/runtime/upstreams/upstreamhome.h
+++ b/src/runtime/upstreams/upstreamhome.h
@@ -77,7 +77,7 @@
     // An answer of the upstream, reported at most once per interval; see StatementProof.
     std::function<void(const StatementProof &proof)> answered;
     // A request waits for a newer snapshot until then: asks for frequent rounds.
-    std::function<void(TimePoint until)> hurry;
+    std::function<void(TimePoint until)> requestRounds;
     // A drained home holds no data connection any more: its successor may use all
     // connections.
     std::function<void(const HandBack &handBack)> handedBack;
@@ -140,7 +140,7 @@
     void close();
 
     // Reports of other hosts about where the home is placed; see ConnectionBudget.
-    void confirmedHome(TimePoint askedAt);
+    void onHomeConfirmed(TimePoint askedAt);
     void handedBack(const HandBack &handBack);
     void onClockGap();
 
--- a/src/runtime/upstreams/upstreamhomeanswers.cpp
+++ b/src/runtime/upstreams/upstreamhomeanswers.cpp
@@ -58,7 +58,7 @@
     switch (*answer.refusal) {
     case ErrorKind::Moved: {
         const bool isNew = pending.request.transaction == 0 && answer.state == 'I' && !runsOnReplicas(pending.request);
-        const bool isLost = pending.request.transaction != 0 && m_settings.dialect->leaderProvesItself;
+        const bool isLost = pending.request.transaction != 0 && m_settings.dialect->primaryProvesItself;
         return isNew || isLost ? std::optional(homeerrors::fenced(m_upstream.name)) : std::nullopt;
     }
     case ErrorKind::NotFresh:
@@ -72,7 +72,7 @@
 bool UpstreamHome::provesPrimary(const HomeRequest &pending) const
 {
     const StatementRequest &request = pending.request;
-    if (!m_settings.dialect->leaderProvesItself || request.transaction != 0) {
+    if (!m_settings.dialect->primaryProvesItself || request.transaction != 0) {
         return false;
     }
     const bool isChecked = isRead(request.kind) && request.needsPrimary;
@@ -82,7 +82,7 @@
 // Reports the status in an answer to the observer, which then need not query it.
 void UpstreamHome::reportAnswer(const HomeRequest &pending, const BatchAnswer &answer)
 {
-    if (!m_hooks.answered || !m_settings.dialect->leaderProvesItself || !answer.status || !answer.errorCode.empty()) {
+    if (!m_hooks.answered || !m_settings.dialect->primaryProvesItself || !answer.status || !answer.errorCode.empty()) {
         return;
     }
     const TimePoint now = Clock::now();
@@ -104,8 +104,8 @@
     if (const auto refused = refusalIn(pending, answer)) {
         returnConnection(ticket, answer.state);
         m_ledger.notRun(pending.attempt, *refused, false, Clock::now());
-        if (refused->kind == ErrorKind::Moved && m_hooks.hurry) {
-            m_hooks.hurry(Clock::now() + homeerrors::retrySoon);
+        if (refused->kind == ErrorKind::Moved && m_hooks.requestRounds) {
+            m_hooks.requestRounds(Clock::now() + homeerrors::retrySoon);
         }
         // It is proven not to have run, so the front may send it to another upstream.
         pending.sent = false;
@@ -248,8 +248,8 @@
     const std::string cause = "The upstream '" + m_upstream.name + "' " + failure.message;
     if (failure.reason == BatchFailure::Reason::Lost) {
         m_view.onConnectionLost(Clock::now());
-        if (m_hooks.hurry) {
-            m_hooks.hurry(Clock::now() + frequentRoundsDuration);
+        if (m_hooks.requestRounds) {
+            m_hooks.requestRounds(Clock::now() + frequentRoundsDuration);
         }
     }
     const auto actions = m_ledger.hopBroken(ticket, homeerrors::retrySoon, Clock::now());
--- a/src/runtime/upstreams/upstreamhomeupkeep.cpp
+++ b/src/runtime/upstreams/upstreamhomeupkeep.cpp
@@ -157,7 +157,7 @@
 void UpstreamHome::closeSurplus(TimePoint now)
 {
     const auto allowance = static_cast<std::size_t>(std::max(0, m_pool.budget().allowance(now)));
-    if (now < m_pool.budget().shedsBy(now) || m_pool.size() <= allowance) {
+    if (now < m_pool.budget().shedDeadline(now) || m_pool.size() <= allowance) {
         return;
     }
     m_pool.closeSpare();
@@ -296,7 +296,7 @@
     m_timer.cancel();
 }
 
-void UpstreamHome::confirmedHome(TimePoint askedAt)
+void UpstreamHome::onHomeConfirmed(TimePoint askedAt)
 {
     m_pool.budget().confirmed(askedAt);
     makeProgress();
--- a/src/runtime/upstreams/upstreampool.cpp
+++ b/src/runtime/upstreams/upstreampool.cpp
@@ -66,7 +66,7 @@
 
 void UpstreamPool::noteRequest(const std::string &owner, TimePoint now)
 {
-    m_plan.asked(owner, now);
+    m_plan.noteRequest(owner, now);
 }
 
 void UpstreamPool::put(const Connection &connection)
--- a/src/wire/batchassembler.cpp
+++ b/src/wire/batchassembler.cpp
@@ -408,7 +408,7 @@
         if (value.statement) {
             m_plan.executed.push_back(value.statement->text);
         } else {
-            m_plan.executesUnknown = true;
+            m_plan.executesUnknownStatement = true;
         }
         ReplyStep step;
         step.kind = ReplyStep::Kind::Execute;
--- a/src/wire/batchassembler.h
+++ b/src/wire/batchassembler.h
@@ -163,7 +163,7 @@
     // The texts that the upstream is to execute, in order.
     std::vector<std::string> executed;
     // True when a portal is executed whose statement is not known to the session.
-    bool executesUnknown = false;
+    bool executesUnknownStatement = false;
     // Empty for a simple query, whose answer is passed on unchanged.
     std::vector<ReplyStep> steps;
 };
--- a/src/wire/difference.cpp
+++ b/src/wire/difference.cpp
@@ -44,7 +44,7 @@
     return XXH3_64bits(text.data(), text.size());
 }
 
-std::string differenceFrom(std::string_view base, std::string_view text)
+std::string makeDifference(std::string_view base, std::string_view text)
 {
     const Compressor context(ZSTD_createCCtx(), ZSTD_freeCCtx);
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, compressionLevel);
@@ -61,7 +61,7 @@
     return difference;
 }
 
-tl::expected<std::string, Error> textFrom(std::string_view base, std::string_view difference, std::uint64_t digest)
+tl::expected<std::string, Error> applyDifference(std::string_view base, std::string_view difference, std::uint64_t digest)
 {
     const unsigned long long size = ZSTD_getFrameContentSize(difference.data(), difference.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > maxDifferenceText) {
--- a/src/wire/difference.h
+++ b/src/wire/difference.h
@@ -24,10 +24,10 @@
 
 // Compresses `text` with `base` as the dictionary. With an empty base the result holds the
 // whole text.
-std::string differenceFrom(std::string_view base, std::string_view text);
+std::string makeDifference(std::string_view base, std::string_view text);
 
 // Restores the text from its difference and the same base. InvalidInput when the bytes are
 // damaged or belong to another base, or when the digest of the result is not `digest`.
-tl::expected<std::string, Error> textFrom(std::string_view base, std::string_view difference, std::uint64_t digest);
+tl::expected<std::string, Error> applyDifference(std::string_view base, std::string_view difference, std::uint64_t digest);
 
 } // namespace egrettide
--- a/testing/support/groupworld.h
+++ b/testing/support/groupworld.h
@@ -51,8 +51,8 @@
     // One in this many promotions coincides with a fault of its candidate or the loss of
     // its answers, and one in this many fences with a pause of the promoter: most failures
     // need a fault within a window of milliseconds.
-    std::uint64_t ambushPromotionOneIn = 4;
-    std::uint64_t ambushFenceOneIn = 40;
+    std::uint64_t promotionFaultOneIn = 4;
+    std::uint64_t fencePauseOneIn = 40;
     // The store is unavailable for the whole schedule.
     bool storeOut = false;
     // The share of planned changes among the faults, in percent.
@@ -78,21 +78,21 @@
     options.seed = seed;
     options.monitor.idleInterval = milliseconds(20);
     options.monitor.busyInterval = milliseconds(10);
-    options.monitor.noPrimaryPatience = milliseconds(120);
-    options.monitor.splitPatience = milliseconds(300);
+    options.monitor.noPrimaryTimeout = milliseconds(120);
+    options.monitor.splitPromisesTimeout = milliseconds(300);
     options.monitor.detector.floor = milliseconds(50);
     options.monitor.detector.ceiling = milliseconds(200);
     options.promoter.opinionTimeout = milliseconds(60);
-    options.promoter.loneHomePatience = milliseconds(300);
+    options.promoter.loneHomeDelay = milliseconds(300);
     options.promoter.claimTimeout = milliseconds(40);
     options.promoter.fenceTimeout = milliseconds(100);
     options.promoter.promoteTimeout = milliseconds(60);
     options.promoter.resendInterval = milliseconds(15);
-    options.promoter.claimPatience = milliseconds(200);
+    options.promoter.foreignClaimTimeout = milliseconds(200);
     options.promoter.backoffFloor = milliseconds(20);
     options.promoter.backoffCeiling = milliseconds(300);
     options.promoter.followInterval = milliseconds(40);
-    options.promoter.strandedPatience = milliseconds(300);
+    options.promoter.strandedTimeout = milliseconds(300);
     return options;
 }
 
@@ -699,7 +699,7 @@
 
     void act(std::size_t index, const SendFence &order)
     {
-        if (oneIn(m_options.ambushFenceOneIn)) {
+        if (oneIn(m_options.fencePauseOneIn)) {
             pauseHome(index, microseconds(5000 + below(200'000)));
         }
         ask<ControlAnswer>(
@@ -713,7 +713,7 @@
     void act(std::size_t index, const SendPromote &order)
     {
         const std::size_t target = indexOf(order.upstream);
-        if (oneIn(m_options.ambushPromotionOneIn)) {
+        if (oneIn(m_options.promotionFaultOneIn)) {
             injectPromotionFault(index, target);
         }
         ask<ControlAnswer>(
--- a/tests/core/calleradmission_test.cpp
+++ b/tests/core/calleradmission_test.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-Configuration configurationWith(bool asksForKeys)
+Configuration configurationWith(bool requiresKeys)
 {
     Configuration configuration;
-    configuration.asksForKeys = asksForKeys;
+    configuration.requiresKeys = requiresKeys;
     TenantSpec desk;
     desk.name = "desk";
     desk.keys = {"k1", "k2"};
@@ -22,7 +22,7 @@
     closed.name = "closed";
     RouteSpec open;
     open.name = "open";
-    open.admitsUnknownKeys = true;
+    open.allowsUnknownKeys = true;
     configuration.routes = {closed, open};
     return configuration;
 }
--- a/tests/core/configurationfleet.h
+++ b/tests/core/configurationfleet.h
@@ -197,7 +197,7 @@
         return Placement(view->placementHosts(), upstreams);
     }
 
-    bool isWatcher(const std::string &name)
+    bool isStoreReader(const std::string &name)
     {
         return placementOf(name).homeOf(watchKey, m_hosts.at(name).zone) == name;
     }
@@ -207,7 +207,7 @@
     void pollStore(const std::string &name)
     {
         const Host &host = m_hosts.at(name);
-        const bool watches = isWatcher(name);
+        const bool watches = isStoreReader(name);
         const bool asks = watches || host.state->version() == 0 || host.state->isBehind();
         if (m_faults.naive || asks) {
             askStore(name, watches);
@@ -283,7 +283,7 @@
     void onVersionReported(const std::string &name, const std::string &from, std::uint64_t version)
     {
         Host &host = m_hosts.at(name);
-        host.state->heardOf(version);
+        host.state->noteKnownVersion(version);
         host.peerReported = true;
         if (!host.serves) {
             serveIfUpToDate(name);
--- a/tests/core/configurationstate_test.cpp
+++ b/tests/core/configurationstate_test.cpp
@@ -136,10 +136,10 @@
     ConfigurationState state;
     state.offer(configuration(5));
     BOOST_TEST(!state.isBehind());
-    state.heardOf(8);
-    state.heardOf(6);
+    state.noteKnownVersion(8);
+    state.noteKnownVersion(6);
     BOOST_TEST(state.isBehind());
-    BOOST_TEST(state.newestHeard() == 8u);
+    BOOST_TEST(state.newestKnownVersion() == 8u);
     state.offer(configuration(9));
     BOOST_TEST(!state.isBehind());
 }
--- a/tests/core/connectionbudget_test.cpp
+++ b/tests/core/connectionbudget_test.cpp
@@ -182,7 +182,7 @@
     void openAndClose(Host &host)
     {
         const int allowance = host.budget.allowance(m_now);
-        const bool mustClose = m_now >= host.budget.shedsBy(m_now);
+        const bool mustClose = m_now >= host.budget.shedDeadline(m_now);
         if (host.open < allowance || !host.isBusy || mustClose) {
             host.open = allowance;
         }
@@ -298,10 +298,10 @@
     ConnectionBudget budget = settledHome(thirtyConnections());
     BOOST_TEST(budget.allowance(start + 1s) == 12);
     BOOST_TEST(budget.allowance(start + 2s) == 6);
-    BOOST_TEST((budget.shedsBy(start + 2s) == start + 12s));
+    BOOST_TEST((budget.shedDeadline(start + 2s) == start + 12s));
     budget.confirmed(start + 3s);
     BOOST_TEST(budget.allowance(start + 3s) == 6);
-    BOOST_TEST((budget.shedsBy(start + 3s) == start + 12s), "a new confirmation must not put off the closing of surplus");
+    BOOST_TEST((budget.shedDeadline(start + 3s) == start + 12s), "a new confirmation must not put off the closing of surplus");
 }
 
 BOOST_AUTO_TEST_CASE(SuspendedHomeLosesItsSettledShare)
@@ -333,7 +333,8 @@
     budget.becomeHome(start);
     budget.refused(5, start);
     BOOST_REQUIRE(budget.allowance(start) == 4);
-    BOOST_TEST((budget.shedsBy(start) > start + 5s), "the allowance recovers after 5 s, before any busy connection is closed");
+    BOOST_TEST((budget.shedDeadline(start) > start + 5s),
+               "the allowance recovers after 5 s, before any busy connection is closed");
 }
 
 BOOST_AUTO_TEST_CASE(LowerLimitLeavesBusyConnectionsTimeToEnd)
@@ -343,7 +344,7 @@
     lower.limit = 16;
     budget.configure(lower, start);
     BOOST_TEST(budget.allowance(start) == 5);
-    BOOST_TEST((budget.shedsBy(start) == start + 10s));
+    BOOST_TEST((budget.shedDeadline(start) == start + 10s));
 }
 
 BOOST_AUTO_TEST_CASE(SmallUpstreamsStillGetAShare)
@@ -402,9 +403,9 @@
 BOOST_AUTO_TEST_CASE(TransactionsLeaveConnectionsForTheSlots)
 {
     const ConnectionBudget budget = settledHome(thirtyConnections());
-    BOOST_TEST(budget.transactionPlaces(5, start) == 7);
+    BOOST_TEST(budget.transactionLimit(5, start) == 7);
     ConnectionBudget none(thirtyConnections());
-    BOOST_TEST(none.transactionPlaces(5, start) == 1);
+    BOOST_TEST(none.transactionLimit(5, start) == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/connectionplan_test.cpp
+++ b/tests/core/connectionplan_test.cpp
@@ -85,7 +85,7 @@
     for (int i = 0; i < requests; ++i) {
         now += milliseconds(16);
         const std::string owner = "w" + std::to_string(pick(random));
-        plan.asked(owner, now);
+        plan.noteRequest(owner, now);
         auto spare = std::ranges::find(pool.connections, std::pair(owner, PooledState::Spare));
         if (spare == pool.connections.end()) {
             ++misses;
@@ -134,9 +134,9 @@
 {
     ConnectionPlan plan = planWith(EvictionPolicy::LowestRate);
     for (int i = 0; i < 50; ++i) {
-        plan.asked("often", begin + milliseconds(i * 10));
+        plan.noteRequest("often", begin + milliseconds(i * 10));
     }
-    plan.asked("rare", begin + milliseconds(600));
+    plan.noteRequest("rare", begin + milliseconds(600));
     Pool pool;
     pool.connections = {{"often", PooledState::Spare}, {"rare", PooledState::Spare}};
     pool.balance(plan, {"new"}, {2, 2, 0}, begin + milliseconds(700));
@@ -147,9 +147,9 @@
 {
     ConnectionPlan plan = planWith(EvictionPolicy::LowestRate);
     for (int i = 0; i < 50; ++i) {
-        plan.asked("often", begin + milliseconds(i * 10));
+        plan.noteRequest("often", begin + milliseconds(i * 10));
     }
-    plan.asked("once", begin);
+    plan.noteRequest("once", begin);
     Pool pool;
     pool.balance(plan, {}, {4, 4, 0}, begin + milliseconds(500));
     BOOST_TEST(pool.opened == 0U, "a connection was opened without a free slot");
@@ -185,7 +185,7 @@
         std::vector<std::string_view> waiting;
         for (int i = *rc::gen::inRange(0, 8); i > 0; --i) {
             waiting.push_back(owners[static_cast<std::size_t>(*rc::gen::inRange(0, 6))]);
-            plan.asked(waiting.back(), begin);
+            plan.noteRequest(waiting.back(), begin);
         }
         const auto allowance = static_cast<std::size_t>(*rc::gen::inRange(0, 20));
         const PoolLimits limits{allowance, allowance, static_cast<std::size_t>(*rc::gen::inRange(0, 4))};
@@ -201,8 +201,8 @@
     options.maximumOwners = 10;
     ConnectionPlan plan(options);
     for (int i = 0; i < 1000; ++i) {
-        plan.asked("w" + std::to_string(i), begin + milliseconds(i));
-        plan.asked("often", begin + milliseconds(i));
+        plan.noteRequest("w" + std::to_string(i), begin + milliseconds(i));
+        plan.noteRequest("often", begin + milliseconds(i));
     }
     BOOST_TEST(plan.rateOf("often", begin + milliseconds(1000)) > 10);
     BOOST_TEST(plan.rateOf("w1", begin + milliseconds(1000)) == 0);
--- a/tests/core/difference_test.cpp
+++ b/tests/core/difference_test.cpp
@@ -35,9 +35,9 @@
 BOOST_AUTO_TEST_CASE(GiveTheTextBackWithTheirBase)
 {
     const bool holds = rc::check([](const std::string &base, const std::string &text) {
-        const auto whole = textFrom({}, differenceFrom({}, text), digestOf(text));
+        const auto whole = applyDifference({}, makeDifference({}, text), digestOf(text));
         RC_ASSERT(whole.has_value() && *whole == text);
-        const auto difference = textFrom(base, differenceFrom(base, text), digestOf(text));
+        const auto difference = applyDifference(base, makeDifference(base, text), digestOf(text));
         RC_ASSERT(difference.has_value() && *difference == text);
     });
     BOOST_TEST(holds);
@@ -49,18 +49,18 @@
 {
     const std::string before = routes(1900);
     const std::string after = routes(1900, 1500);
-    const std::size_t change = differenceFrom(before, after).size();
+    const std::size_t change = makeDifference(before, after).size();
     BOOST_TEST(change <= 1024U, "the change of one route takes " << change << " bytes");
-    const std::size_t whole = differenceFrom({}, after).size();
+    const std::size_t whole = makeDifference({}, after).size();
     BOOST_TEST(whole * 3 <= after.size(), "the whole takes " << whole << " of " << after.size() << " bytes");
 }
 
 BOOST_AUTO_TEST_CASE(OfAnotherBaseAreRefused)
 {
     const std::string text = routes(50, 1500);
-    const std::string difference = differenceFrom(routes(50), text);
-    BOOST_TEST(!textFrom(routes(51), difference, digestOf(text)).has_value());
-    BOOST_TEST(!textFrom({}, difference, digestOf(text)).has_value());
+    const std::string difference = makeDifference(routes(50), text);
+    BOOST_TEST(!applyDifference(routes(51), difference, digestOf(text)).has_value());
+    BOOST_TEST(!applyDifference({}, difference, digestOf(text)).has_value());
 }
 
 // A damaged difference gives an error or the original text, never another text.
@@ -68,18 +68,18 @@
 {
     const std::string base = routes(30);
     const std::string text = routes(30, 1500);
-    const std::string difference = differenceFrom(base, text);
+    const std::string difference = makeDifference(base, text);
     const bool holds = rc::check([&] {
         std::string damaged = difference;
         const auto at = *rc::gen::inRange<std::size_t>(0, damaged.size());
         damaged[at] = static_cast<char>(damaged[at] ^ *rc::gen::inRange(1, 256));
         damaged.resize(*rc::gen::inRange<std::size_t>(0, damaged.size() + 1));
-        const auto read = textFrom(base, damaged, digestOf(text));
+        const auto read = applyDifference(base, damaged, digestOf(text));
         RC_ASSERT(!read.has_value() || *read == text);
     });
     BOOST_TEST(holds);
-    BOOST_TEST(!textFrom({}, "no difference at all", 1).has_value());
-    BOOST_TEST(!textFrom({}, {}, 0).has_value());
+    BOOST_TEST(!applyDifference({}, "no difference at all", 1).has_value());
+    BOOST_TEST(!applyDifference({}, {}, 0).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/freshnessgate_test.cpp
+++ b/tests/core/freshnessgate_test.cpp
@@ -28,7 +28,7 @@
     view.observedAt = at(0);
     view.replayRate = 1000;
     view.reachable = true;
-    view.judged = true;
+    view.reachabilityKnown = true;
     return view;
 }
 
@@ -198,13 +198,13 @@
     checksMarks.upstreamChecksMarks = true;
     GroupSnapshot snapshot = group();
     snapshot.members[1].reachable = false;
-    snapshot.members[1].judged = false;
+    snapshot.members[1].reachabilityKnown = false;
     for (const GateOptions &options : {GateOptions{}, checksMarks}) {
         BOOST_TEST(decide(withFloor({2, 90}), snapshot, "r", 10, options) == "wait unreachable");
         BOOST_TEST(decide(withFloor({2, 90}), snapshot, "r", 30, options) == "elsewhere unreachable",
                    "a read waits for a replica for 20 ms, not longer");
     }
-    snapshot.members[1].judged = true;
+    snapshot.members[1].reachabilityKnown = true;
     BOOST_TEST(decide(withFloor({2, 90}), snapshot, "r", 10, checksMarks) == "elsewhere unreachable");
 }
 
--- a/tests/core/group_test.cpp
+++ b/tests/core/group_test.cpp
@@ -101,8 +101,8 @@
     options.lossOneIn = 0;
     options.duplicateOneIn = 0;
     options.delayOneIn = 0;
-    options.ambushFenceOneIn = 0;
-    options.ambushPromotionOneIn = 0;
+    options.fencePauseOneIn = 0;
+    options.promotionFaultOneIn = 0;
     options.writesAtHomeOnly = true;
     return options;
 }
--- a/tests/core/groupmonitor_test.cpp
+++ b/tests/core/groupmonitor_test.cpp
@@ -176,18 +176,20 @@
 
 BOOST_AUTO_TEST_CASE(JudgeAMemberOnceItHasAnsweredRefusedOrBeenSilent)
 {
-    const auto judged = [this](std::size_t member) { return monitor.snapshot()->members.at(member).judged; };
-    BOOST_TEST(!judged(0), "nothing is known of a member that was never probed");
+    const auto reachabilityKnown = [this](std::size_t member) {
+        return monitor.snapshot()->members.at(member).reachabilityKnown;
+    };
+    BOOST_TEST(!reachabilityKnown(0), "nothing is known of a member that was never probed");
     const RoundId round = monitor.beginRound(at(0)).id;
-    BOOST_TEST(!judged(0), "an unanswered probe says nothing yet");
+    BOOST_TEST(!reachabilityKnown(0), "an unanswered probe says nothing yet");
     monitor.onStatus(round, primary("a", 1, 7), at(1));
     monitor.onProbeFailed(round, "b", ProbeFailure::Refused, at(1));
-    BOOST_TEST(judged(0));
-    BOOST_TEST(judged(1));
-    BOOST_TEST(!judged(2));
+    BOOST_TEST(reachabilityKnown(0));
+    BOOST_TEST(reachabilityKnown(1));
+    BOOST_TEST(!reachabilityKnown(2));
     monitor.beginRound(at(10));
     monitor.onTimer(at(5000));
-    BOOST_TEST(judged(2), "silence beyond the timeout counts as a failure");
+    BOOST_TEST(reachabilityKnown(2), "silence beyond the timeout counts as a failure");
 }
 
 BOOST_AUTO_TEST_CASE(FollowCloselyWhileARequestWaits)
@@ -203,7 +205,7 @@
 BOOST_AUTO_TEST_CASE(AreDueAtOnceAfterAFailedRequest)
 {
     settledRound(0, 7);
-    monitor.onTrouble(at(10));
+    monitor.onRequestFailed(at(10));
     BOOST_TEST((monitor.nextProbeAt(at(10), false) <= at(10)));
     settledRound(11, 7);
     BOOST_TEST((monitor.nextProbeAt(at(13), false) == at(61)), "one round after the failure is enough");
@@ -223,8 +225,8 @@
             std::ranges::find_if(snapshot->watermarks.rbegin(), snapshot->watermarks.rend(),
                                  [&](const Watermark &each) { return now - each.sentAt >= std::chrono::milliseconds(age); });
         BOOST_REQUIRE((found != snapshot->watermarks.rend()));
-        const auto judged = std::chrono::duration_cast<std::chrono::milliseconds>(now - found->sentAt).count();
-        BOOST_TEST(judged <= age + age / 4 + 8, "age " << age << " ms is judged as " << judged << " ms");
+        const auto measuredAge = std::chrono::duration_cast<std::chrono::milliseconds>(now - found->sentAt).count();
+        BOOST_TEST(measuredAge <= age + age / 4 + 8, "age " << age << " ms is judged as " << measuredAge << " ms");
     }
 }
 
@@ -378,7 +380,7 @@
 struct SelfProvingFixture {
     GroupMonitor monitor{"bookings", {{"a", "zone-a", false}, {"b", "zone-b", false}, {"c", "zone-c", false}}, [] {
                              GroupMonitorOptions options;
-                             options.leaderProvesItself = true;
+                             options.primaryProvesItself = true;
                              return options;
                          }()};
 
--- a/tests/core/groupmutations_test.cpp
+++ b/tests/core/groupmutations_test.cpp
@@ -83,7 +83,7 @@
 {
     checkCaught("two primaries", [](WorldOptions &options) {
         options.promoter.faults.secondCandidateSameTerm = true;
-        options.ambushPromotionOneIn = 2;
+        options.promotionFaultOneIn = 2;
     });
 }
 
--- a/tests/core/joingate_test.cpp
+++ b/tests/core/joingate_test.cpp
@@ -43,7 +43,7 @@
 {
     const JoinOptions options;
     const JoinGate gate("here", options, start);
-    BOOST_TEST(sinceStart(gate.joinsAt()).count() == options.bound.count(), "a host without peers has to join at the bound");
+    BOOST_TEST(sinceStart(gate.joinsAt()).count() == options.maxDelay.count(), "a host without peers has to join at the bound");
 }
 
 BOOST_AUTO_TEST_CASE(JoinsAtOnceWhenItsZoneIsDiscovered)
@@ -75,7 +75,7 @@
     const JoinOptions options;
     JoinGate gate("here", options, start);
     gate.onView(viewOf({"a"}, false), true, start);
-    BOOST_TEST(sinceStart(gate.joinsAt()).count() == options.bound.count());
+    BOOST_TEST(sinceStart(gate.joinsAt()).count() == options.maxDelay.count());
 }
 
 BOOST_AUTO_TEST_CASE(NeverWaitsBeyondItsBound)
@@ -88,7 +88,7 @@
             now += milliseconds{step};
             std::vector<std::string> zoneHosts(static_cast<std::size_t>(step % 5), "host");
             gate.onView(viewOf(zoneHosts, step % 2 == 0), step % 7 == 0, now);
-            RC_ASSERT(gate.joinsAt() <= start + options.bound);
+            RC_ASSERT(gate.joinsAt() <= start + options.maxDelay);
         }
     }));
 }
--- a/tests/core/linkprobe_test.cpp
+++ b/tests/core/linkprobe_test.cpp
@@ -56,7 +56,7 @@
     Connection connection;
     connection.answers = false;
     connection.now += milliseconds{5000};
-    connection.probe.doubt(connection.now);
+    connection.probe.markUnproven(connection.now);
     connection.run(milliseconds{1000});
     BOOST_TEST(connection.isLost);
 }
@@ -65,7 +65,7 @@
 {
     Connection connection;
     for (int i = 0; i < 100; ++i) {
-        connection.probe.doubt(connection.now);
+        connection.probe.markUnproven(connection.now);
         connection.run(milliseconds{100});
     }
     BOOST_TEST(!connection.isLost);
@@ -76,7 +76,7 @@
 {
     Connection connection;
     for (int i = 0; i < 500; ++i) {
-        connection.probe.doubt(connection.now);
+        connection.probe.markUnproven(connection.now);
         connection.run(milliseconds{20});
     }
     const int most = 10000 / static_cast<int>(LinkProbeOptions{}.pingInterval.count()) + 1;
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -215,11 +215,11 @@
 {
     const TimePoint now{seconds{1000}};
     Membership membership(recordOf("self", 1, HostHealth::Live), MembershipOptions{}, 1, now);
-    BOOST_TEST(!membership.hasMetZone(), "before the first list the zone must count as unknown");
+    BOOST_TEST(!membership.hasDiscoveredZone(), "before the first list the zone must count as unknown");
     membership.onHostList({HostSeed{"other", "zone-0", "10.0.0.8:1"}, HostSeed{"far", "zone-1", "10.0.0.7:1"}}, now);
-    BOOST_TEST(!membership.hasMetZone(), "the other host of the zone is not known yet");
+    BOOST_TEST(!membership.hasDiscoveredZone(), "the other host of the zone is not known yet");
     membership.onMessage(messageFrom("other", {recordOf("other", 1, HostHealth::Live)}), now);
-    BOOST_TEST(membership.hasMetZone(), "all hosts of the zone are known");
+    BOOST_TEST(membership.hasDiscoveredZone(), "all hosts of the zone are known");
 }
 
 // The platform's list lags, so a host may know only one other.
@@ -393,7 +393,7 @@
 BOOST_AUTO_TEST_CASE(DisturbsNeighboursWithUnverifiedDeathReports)
 {
     MembershipOptions mutant;
-    mutant.checksHearsay = false;
+    mutant.verifiesDeathReports = false;
     BOOST_TEST(disturbsNeighbours(mutant), "unverified death reports have to cause false deaths; the test above detects nothing");
 }
 
@@ -411,7 +411,7 @@
 BOOST_AUTO_TEST_CASE(RevivesTheDeadOnceIncarnationsAreForgotten)
 {
     MembershipOptions mutant;
-    mutant.remembersIncarnations = false;
+    mutant.keepsIncarnations = false;
     const std::vector<std::pair<int, int>> records{{2, 0}, {2, 1}, {2, 2}, {1, 0}};
     BOOST_TEST(resurrects(mutant, records),
                "without incarnations old records have to revive a dead host; the test above detects nothing");
--- a/tests/core/partitiondetector_test.cpp
+++ b/tests/core/partitiondetector_test.cpp
@@ -39,7 +39,7 @@
     PartitionDetector detector(options());
     detector.onReach(whole, at(-1000));
     detector.onReach(otherZonesLost, at(0));
-    BOOST_TEST_REQUIRE(detector.asksStore(at(0)));
+    BOOST_TEST_REQUIRE(detector.shouldQueryStore(at(0)));
     return detector;
 }
 
@@ -64,8 +64,8 @@
     detector.onStoreAnswer(true, at(4));
     detector.onTimer(at(150));
     BOOST_TEST(!detector.isCutOff());
-    BOOST_TEST(!detector.movesCallers(at(60'000)), "callers of the surviving zone were moved");
-    BOOST_TEST(detector.asksStore(at(1004)), "the store may be lost later, so it is asked again");
+    BOOST_TEST(!detector.shouldMoveCallers(at(60'000)), "callers of the surviving zone were moved");
+    BOOST_TEST(detector.shouldQueryStore(at(1004)), "the store may be lost later, so it is asked again");
 }
 
 BOOST_AUTO_TEST_CASE(IsConfirmedWhenTheStoreIsSilentToo)
@@ -83,7 +83,7 @@
     PartitionDetector detector = cutOff();
     detector.onStoreAnswer(true, at(250));
     BOOST_TEST(!detector.isCutOff());
-    BOOST_TEST(!detector.movesCallers(at(2400)), "callers were moved although the store has answered");
+    BOOST_TEST(!detector.shouldMoveCallers(at(2400)), "callers were moved although the store has answered");
 }
 
 BOOST_AUTO_TEST_CASE(IsNoneWhenHostsOfOtherZonesAnswer)
@@ -124,19 +124,19 @@
 BOOST_AUTO_TEST_CASE(MovesCallersOnceTheBalancerHasBeenToldTwice)
 {
     PartitionDetector detector = cutOff();
-    detector.onReadinessTold(false, at(400));
-    BOOST_TEST(!detector.movesCallers(at(900)));
-    detector.onReadinessTold(false, at(1400));
-    BOOST_TEST(!detector.movesCallers(at(1400)), "the balancer's decision takes a moment");
-    BOOST_TEST(detector.movesCallers(at(1450)));
+    detector.onReadinessReported(false, at(400));
+    BOOST_TEST(!detector.shouldMoveCallers(at(900)));
+    detector.onReadinessReported(false, at(1400));
+    BOOST_TEST(!detector.shouldMoveCallers(at(1400)), "the balancer's decision takes a moment");
+    BOOST_TEST(detector.shouldMoveCallers(at(1450)));
 }
 
 // The balancer may not reach the host either.
 BOOST_AUTO_TEST_CASE(MovesCallersAfterTheNoticeWithoutProbes)
 {
     PartitionDetector detector = cutOff();
-    BOOST_TEST(!detector.movesCallers(at(2449)));
-    BOOST_TEST(detector.movesCallers(at(2450)));
+    BOOST_TEST(!detector.shouldMoveCallers(at(2449)));
+    BOOST_TEST(detector.shouldMoveCallers(at(2450)));
 }
 
 // Callers have to be moved repeatedly: while one host of a cut-off zone has not detected the
@@ -147,7 +147,7 @@
     PartitionDetector detector = cutOff();
     std::vector<int> moves;
     for (int ms = 0; ms < 20'000; ms += 50) {
-        if (detector.movesCallers(at(ms))) {
+        if (detector.shouldMoveCallers(at(ms))) {
             moves.push_back(ms);
         }
     }
@@ -161,7 +161,7 @@
     off.enabled = false;
     PartitionDetector detector(off);
     detector.onReach(otherZonesLost, at(0));
-    BOOST_TEST(!detector.asksStore(at(0)));
+    BOOST_TEST(!detector.shouldQueryStore(at(0)));
 }
 
 // Whatever the reachability of the others, a host that the store answers in time is ready and moves
@@ -179,13 +179,13 @@
             const auto lostElsewhere = *rc::gen::inRange<std::size_t>(0, lost + 1);
             detector.onTimer(now);
             detector.onReach({live, lost, liveElsewhere, lostElsewhere}, now);
-            detector.onReadinessTold(!detector.isCutOff(), now);
-            if (detector.asksStore(now)) {
+            detector.onReadinessReported(!detector.isCutOff(), now);
+            if (detector.shouldQueryStore(now)) {
                 now += milliseconds{*rc::gen::inRange(0, 150)};
                 detector.onStoreAnswer(true, now);
             }
             RC_ASSERT(!detector.isCutOff());
-            RC_ASSERT(!detector.movesCallers(now));
+            RC_ASSERT(!detector.shouldMoveCallers(now));
         }
     }));
 }
--- a/tests/core/partitionload_test.cpp
+++ b/tests/core/partitionload_test.cpp
@@ -96,10 +96,10 @@
         for (auto &[name, detector] : m_detectors) {
             detector.onTimer(now);
             detector.onReach(m_fleet.host(name).reach(now), now);
-            if (detector.movesCallers(now)) {
+            if (detector.shouldMoveCallers(now)) {
                 moveCallersOf(name);
             }
-            if (detector.asksStore(now) && !isCut(m_fleet.zone(name))) {
+            if (detector.shouldQueryStore(now) && !isCut(m_fleet.zone(name))) {
                 m_fleet.after(name, storeAnswersIn,
                               [this, &detector = detector] { detector.onStoreAnswer(true, m_fleet.now()); });
             }
@@ -111,7 +111,7 @@
     {
         for (auto &[name, detector] : m_detectors) {
             const bool ready = !detector.isCutOff();
-            detector.onReadinessTold(ready, m_fleet.now());
+            detector.onReadinessReported(ready, m_fleet.now());
             m_misses[name] = ready ? 0 : m_misses[name] + 1;
         }
     }
--- a/tests/core/quotabackoff_test.cpp
+++ b/tests/core/quotabackoff_test.cpp
@@ -27,7 +27,7 @@
         for (int i = 0; i < 10 * perSecond; ++i) {
             const TimePoint now = begin + std::chrono::microseconds(1000000LL * i / perSecond);
             tokens = std::min(10.0, tokens + static_cast<double>(grantedPerSecond) / perSecond);
-            if (backoff.refusesHere("hot", now)) {
+            if (backoff.localRefusal("hot", now)) {
                 continue;
             }
             ++asked;
@@ -35,7 +35,7 @@
                 tokens -= 1;
                 ++granted;
             } else {
-                backoff.refused("hot", milliseconds{20}, now);
+                backoff.onRefused("hot", milliseconds{20}, now);
             }
         }
     }
@@ -59,20 +59,20 @@
     const Load load(50, 60);
     BOOST_TEST(load.asked == 500);
     QuotaBackoff backoff;
-    backoff.refused("hot", milliseconds{20}, begin);
-    BOOST_TEST(!backoff.refusesHere("other", begin).has_value());
+    backoff.onRefused("hot", milliseconds{20}, begin);
+    BOOST_TEST(!backoff.localRefusal("other", begin).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(EndsSoonAfterTheLastRefusal)
 {
     QuotaBackoff backoff;
     for (int i = 0; i < 20; ++i) {
-        backoff.refused("hot", milliseconds{20}, begin);
+        backoff.onRefused("hot", milliseconds{20}, begin);
     }
-    const auto refusal = backoff.refusesHere("hot", begin);
+    const auto refusal = backoff.localRefusal("hot", begin);
     BOOST_TEST_REQUIRE(refusal.has_value());
     BOOST_TEST(refusal->count() == 20);
-    BOOST_TEST(!backoff.refusesHere("hot", begin + std::chrono::seconds(2)).has_value());
+    BOOST_TEST(!backoff.localRefusal("hot", begin + std::chrono::seconds(2)).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/quotafleet.h
+++ b/tests/core/quotafleet.h
@@ -161,7 +161,7 @@
         for (std::size_t slot = 0; slot < quotaSlots; ++slot) {
             kept.set(slot, host.keepers[slot] == nameOf(index));
         }
-        host.keeper->keep(kept, partInView(view), m_now);
+        host.keeper->setKeptSlots(kept, visibleFraction(view), m_now);
     }
 
     // Injects one of: a cut into two partitions, cuts of single hosts, the end of all cuts, kills.
@@ -208,14 +208,14 @@
                 continue;
             }
             const QuotaVerdict verdict = m_hosts[i].keeper->ask("hot", m_now);
-            host.grace->heard("hot", verdict, m_now);
+            host.grace->onVerdict("hot", verdict, m_now);
             if (verdict.kind == QuotaVerdict::Kind::Granted) {
                 m_granted.push_back(m_now);
             }
             return;
         }
-        host.grace->unanswered("hot", m_now);
-        if (m_options.usesGrace && host.grace->take("hot")) {
+        host.grace->onKeeperTimeout("hot", m_now);
+        if (m_options.usesGrace && host.grace->tryStart("hot")) {
             m_granted.push_back(m_now);
         }
     }
--- a/tests/core/quotagrace_test.cpp
+++ b/tests/core/quotagrace_test.cpp
@@ -17,7 +17,7 @@
 int taken(QuotaGrace &grace)
 {
     int count = 0;
-    while (grace.take("desk")) {
+    while (grace.tryStart("desk")) {
         ++count;
     }
     return count;
@@ -31,21 +31,21 @@
 {
     QuotaGrace grace(milliseconds{5000});
     for (int i = 0; i < 8; ++i) {
-        grace.heard("desk", calmGrant, begin + std::chrono::seconds(i));
+        grace.onVerdict("desk", calmGrant, begin + std::chrono::seconds(i));
     }
     BOOST_TEST(taken(grace) == 0, "a request was granted although the keeper answers");
-    grace.unanswered("desk", begin + std::chrono::seconds(8));
+    grace.onKeeperTimeout("desk", begin + std::chrono::seconds(8));
     BOOST_TEST(taken(grace) == 5);
 }
 
 BOOST_AUTO_TEST_CASE(GrantNothingToHotOrUnknownWorkspaces)
 {
     QuotaGrace grace(milliseconds{5000});
-    grace.unanswered("desk", begin);
+    grace.onKeeperTimeout("desk", begin);
     BOOST_TEST(taken(grace) == 0);
-    grace.heard("desk", calmGrant, begin);
-    grace.heard("desk", hotGrant, begin);
-    grace.unanswered("desk", begin);
+    grace.onVerdict("desk", calmGrant, begin);
+    grace.onVerdict("desk", hotGrant, begin);
+    grace.onKeeperTimeout("desk", begin);
     BOOST_TEST(taken(grace) == 0);
 }
 
@@ -54,16 +54,16 @@
     // When a host's links flap, a keeper falls silent and answers again many times. Granting
     // requests anew in every silence would give a workspace a multiple of its quota.
     QuotaGrace grace(milliseconds{5000});
-    grace.heard("desk", calmGrant, begin);
+    grace.onVerdict("desk", calmGrant, begin);
     int all = 0;
     for (int i = 0; i < 40; ++i) {
         const TimePoint now = begin + milliseconds(100 * i);
-        grace.unanswered("desk", now);
+        grace.onKeeperTimeout("desk", now);
         all += taken(grace);
-        grace.heard("desk", calmGrant, now);
+        grace.onVerdict("desk", calmGrant, now);
     }
     BOOST_TEST(all == 1);
-    grace.unanswered("desk", begin + milliseconds(6000));
+    grace.onKeeperTimeout("desk", begin + milliseconds(6000));
     BOOST_TEST(taken(grace) > 1);
 }
 
--- a/tests/core/quotakeeper_test.cpp
+++ b/tests/core/quotakeeper_test.cpp
@@ -33,7 +33,7 @@
     options.bounds = {milliseconds{5000}, 0.1, 20};
     QuotaKeeper keeper(options);
     keeper.configure(withQuota(quota));
-    keeper.keep(std::bitset<quotaSlots>().set(), 1, since);
+    keeper.setKeptSlots(std::bitset<quotaSlots>().set(), 1, since);
     return keeper;
 }
 
@@ -142,15 +142,15 @@
     BOOST_TEST(grantedOf(keeper, 1000, begin) <= few);
     // The same when a slot returns to a host that kept it before.
     grantedOf(keeper, 1000, begin + std::chrono::seconds(10));
-    keeper.keep({}, 1, begin + std::chrono::seconds(20));
-    keeper.keep(std::bitset<quotaSlots>().set(), 1, begin + std::chrono::seconds(30));
+    keeper.setKeptSlots({}, 1, begin + std::chrono::seconds(20));
+    keeper.setKeptSlots(std::bitset<quotaSlots>().set(), 1, begin + std::chrono::seconds(30));
     BOOST_TEST(grantedOf(keeper, 1000, begin + std::chrono::seconds(30)) <= few);
 }
 
 BOOST_AUTO_TEST_CASE(AnswerForNoOtherHost)
 {
     QuotaKeeper keeper = keeperOfAll({100, 100});
-    keeper.keep({}, 1, begin);
+    keeper.setKeptSlots({}, 1, begin);
     BOOST_TEST((keeper.ask("limited", begin).kind == QuotaVerdict::Kind::NotKeeper));
 }
 
--- a/tests/core/readerduty_test.cpp
+++ b/tests/core/readerselection_test.cpp
@@ -1,9 +1,9 @@
 // Tests of the selection of store readers, under faults of the readers and of the store.
 
-#define BOOST_TEST_MODULE ReaderDuty
+#define BOOST_TEST_MODULE ReaderSelection
 #include <boost/test/unit_test.hpp>
 
-#include "egrettide/core/readerduty.h"
+#include "egrettide/core/readerselection.h"
 
 #include <rapidcheck.h>
 
@@ -29,10 +29,10 @@
 class Zone
 {
 public:
-    explicit Zone(std::size_t hosts, ReaderDutyOptions options = {})
+    explicit Zone(std::size_t hosts, ReaderSelectionOptions options = {})
     {
         for (std::size_t i = 0; i < hosts; ++i) {
-            m_hosts.push_back(Host{"host-" + std::to_string(i), ReaderDuty("host-" + std::to_string(i), options)});
+            m_hosts.push_back(Host{"host-" + std::to_string(i), ReaderSelection("host-" + std::to_string(i), options)});
         }
         updateCandidates();
     }
@@ -70,20 +70,20 @@
     std::size_t readers() const
     {
         return static_cast<std::size_t>(
-            std::ranges::count_if(m_hosts, [this](const Host &host) { return host.runs && host.duty.reads(m_now); }));
+            std::ranges::count_if(m_hosts, [this](const Host &host) { return host.runs && host.selection.isReader(m_now); }));
     }
 
     // True if the store answers at least one running reader.
     bool isServed() const
     {
-        return std::ranges::any_of(m_hosts,
-                                   [this](const Host &host) { return host.runs && host.duty.reads(m_now) && answers(host); });
+        return std::ranges::any_of(
+            m_hosts, [this](const Host &host) { return host.runs && host.selection.isReader(m_now) && answers(host); });
     }
 
 private:
     struct Host {
         std::string name;
-        ReaderDuty duty;
+        ReaderSelection selection;
         bool runs = true;
         bool reachesStore = true;
         TimePoint goneAt = TimePoint::max();
@@ -106,7 +106,7 @@
             }
         }
         for (Host &host : m_hosts) {
-            host.duty.onCandidates(candidates);
+            host.selection.onCandidates(candidates);
         }
     }
 
@@ -115,11 +115,11 @@
         if (!host.runs) {
             return;
         }
-        host.duty.onReach(answers(host));
-        if (const auto next = host.duty.handsOverTo(m_now)) {
+        host.selection.onStoreReachable(answers(host));
+        if (const auto next = host.selection.handOverTarget(m_now)) {
             const auto to = std::ranges::find(m_hosts, *next, &Host::name);
             if (to->runs) {
-                to->duty.onHandOver(m_now);
+                to->selection.onHandOver(m_now);
             }
         }
     }
@@ -177,7 +177,7 @@
     zone.setStoreDown(true);
     for (int second = 0; second < 60; ++second) {
         zone.run(seconds{1});
-        BOOST_REQUIRE_MESSAGE(zone.readers() <= ReaderDutyOptions{}.maxReaders,
+        BOOST_REQUIRE_MESSAGE(zone.readers() <= ReaderSelectionOptions{}.maxReaders,
                               zone.readers() << " hosts of one zone call a store that is down");
     }
     zone.setStoreDown(false);
@@ -211,7 +211,7 @@
 
 BOOST_AUTO_TEST_CASE(AreAllHostsWhenTheMechanismIsOff)
 {
-    Zone zone(9, ReaderDutyOptions{.everybodyReads = true});
+    Zone zone(9, ReaderSelectionOptions{.allHostsRead = true});
     zone.run(seconds{1});
     BOOST_TEST(zone.readers() == 9U);
 }
@@ -220,17 +220,17 @@
 // candidate.
 BOOST_AUTO_TEST_CASE(AreNotHostsWithoutCandidates)
 {
-    const ReaderDuty fresh("host-0");
-    BOOST_TEST(!fresh.reads(TimePoint{seconds{1}}));
+    const ReaderSelection fresh("host-0");
+    BOOST_TEST(!fresh.isReader(TimePoint{seconds{1}}));
 }
 
 BOOST_AUTO_TEST_CASE(AreNotLeavingHostsUnlessThereIsNoOther)
 {
-    ReaderDuty leaving("host-0");
+    ReaderSelection leaving("host-0");
     leaving.onCandidates({"host-1"});
-    BOOST_TEST(!leaving.reads(TimePoint{seconds{1}}));
+    BOOST_TEST(!leaving.isReader(TimePoint{seconds{1}}));
     leaving.onCandidates({});
-    BOOST_TEST(leaving.reads(TimePoint{seconds{1}}));
+    BOOST_TEST(leaving.isReader(TimePoint{seconds{1}}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/requestpath.h
+++ b/tests/core/requestpath.h
@@ -151,7 +151,7 @@
     static constexpr milliseconds timeout{400};
     static constexpr milliseconds plannedStopTimeout{4000};
     static constexpr milliseconds grace{100};
-    static constexpr milliseconds primaryPoll{30};
+    static constexpr milliseconds primaryRetryDelay{30};
 
     struct Event {
         TimePoint at;
@@ -302,10 +302,10 @@
             return;
         }
         StatementReply last = reply;
-        const auto &instead = std::get<Finish>(decision).instead;
-        m_counts.misleadingRefusals += instead ? 1 : 0;
-        if (instead && !m_faults.acceptsLastRefusal) {
-            last.error = instead;
+        const auto &replacementError = std::get<Finish>(decision).replacementError;
+        m_counts.misleadingRefusals += replacementError ? 1 : 0;
+        if (replacementError && !m_faults.acceptsLastRefusal) {
+            last.error = replacementError;
         }
         waitOrFinish(id, last);
     }
@@ -316,11 +316,11 @@
         const bool lacksPrimary =
             reply.error && (reply.error->kind == ErrorKind::NoPrimary || reply.error->kind == ErrorKind::Moved);
         const bool mayWait = lacksPrimary && (!reply.sent || isRepeatable(request.about));
-        if (!mayWait || m_now + primaryPoll >= request.about.deadline) {
+        if (!mayWait || m_now + primaryRetryDelay >= request.about.deadline) {
             finish(id, reply);
             return;
         }
-        at(primaryPoll, [this, id] {
+        at(primaryRetryDelay, [this, id] {
             m_requests.at(id).attempts.startOver();
             choose(id);
         });
--- a/tests/core/logstory_test.cpp
+++ b/tests/core/requesttrace_test.cpp
@@ -1,10 +1,10 @@
 // Tests of the trace of one request, built from the log lines of several hosts.
 
-#define BOOST_TEST_MODULE LogStory
+#define BOOST_TEST_MODULE RequestTrace
 #include <boost/test/unit_test.hpp>
 #include <rapidcheck.h>
 
-#include "egrettide/core/logstory.h"
+#include "egrettide/core/requesttrace.h"
 
 #include <algorithm>
 #include <random>
@@ -28,11 +28,11 @@
 
 std::string traceOf(const std::string &id, const std::vector<std::string> &added)
 {
-    LogStory trace(id);
+    RequestTrace trace(id);
     for (const std::string &line : added) {
-        trace.take(line);
+        trace.addLine(line);
     }
-    return trace.tell();
+    return trace.describe();
 }
 
 bool contains(const std::string &text, const std::string &part)
@@ -74,13 +74,13 @@
 
 BOOST_AUTO_TEST_CASE(SkipsAndCountsInvalidLines)
 {
-    LogStory trace("abc");
-    trace.take("plain words");
-    trace.take("{\"time_ms\":");
-    trace.take("{\"time_ms\":\"soon\",\"host\":\"front-1\",\"event\":\"started\"}");
-    trace.take("[1]");
-    trace.take("");
-    trace.take("  41.2 front-1 " + lines[4]);
+    RequestTrace trace("abc");
+    trace.addLine("plain words");
+    trace.addLine("{\"time_ms\":");
+    trace.addLine("{\"time_ms\":\"soon\",\"host\":\"front-1\",\"event\":\"started\"}");
+    trace.addLine("[1]");
+    trace.addLine("");
+    trace.addLine("  41.2 front-1 " + lines[4]);
     BOOST_TEST(trace.skipped() == 4U, trace.skipped() << " lines were skipped, not 4");
     BOOST_TEST(trace.found(), "a collector's prefix must not hide a line");
 }
--- a/tests/core/retrybudget_test.cpp
+++ b/tests/core/retrybudget_test.cpp
@@ -27,7 +27,7 @@
         if (request % burst != 0) {
             continue;
         }
-        for (int attempt = 0; attempt < burst * 3 && budget.mayRetry("bookings"); ++attempt) {
+        for (int attempt = 0; attempt < burst * 3 && budget.takeRetry("bookings"); ++attempt) {
             ++sends;
         }
         worst = std::max(worst, sends / request);
@@ -43,8 +43,8 @@
 {
     RetryBudget budget;
     budget.onRequest("bookings");
-    BOOST_TEST(!budget.mayRetry("bookings"));
-    BOOST_TEST(!budget.mayRetry("unknown"));
+    BOOST_TEST(!budget.takeRetry("bookings"));
+    BOOST_TEST(!budget.takeRetry("unknown"));
 }
 
 BOOST_AUTO_TEST_CASE(DatabasesDoNotShareABudget)
@@ -55,8 +55,8 @@
     }
     BOOST_TEST(budget.available("bookings") == 9);
     BOOST_TEST(budget.available("billing") == 0);
-    BOOST_TEST(budget.mayRetry("bookings"));
-    BOOST_TEST(!budget.mayRetry("billing"));
+    BOOST_TEST(budget.takeRetry("bookings"));
+    BOOST_TEST(!budget.takeRetry("billing"));
 }
 
 BOOST_AUTO_TEST_CASE(SavedRetriesAreBounded)
--- a/tests/core/router_test.cpp
+++ b/tests/core/router_test.cpp
@@ -344,8 +344,8 @@
             }
             const auto &finish = std::get<Finish>(decision);
             chargesLeft += unknown && !repeatable ? 1 : 0;
-            corrected += finish.instead ? 1 : 0;
-            const Error &given = finish.instead ? *finish.instead : *reply.error;
+            corrected += finish.replacementError ? 1 : 0;
+            const Error &given = finish.replacementError ? *finish.replacementError : *reply.error;
             // A refusal that reports "not run" must hold for every attempt.
             RC_ASSERT(!unknown || outcomeOf(given.kind) != Outcome::NotRun);
             return;
@@ -377,8 +377,8 @@
     BOOST_TEST(fixture.router.choose(charge, fixture.attempts, start, fixture.random).value().upstream == "b");
     const auto last = fixture.router.afterReply(charge, refusal(ErrorKind::Overloaded), fixture.attempts, start, fixture.random);
     BOOST_REQUIRE(std::holds_alternative<Finish>(last));
-    BOOST_REQUIRE(std::get<Finish>(last).instead.has_value());
-    BOOST_TEST((std::get<Finish>(last).instead->kind == ErrorKind::UnknownOutcome));
+    BOOST_REQUIRE(std::get<Finish>(last).replacementError.has_value());
+    BOOST_TEST((std::get<Finish>(last).replacementError->kind == ErrorKind::UnknownOutcome));
 }
 
 BOOST_AUTO_TEST_CASE(NeverTriesAnUpstreamTwiceInOneTerm)
--- a/tests/core/sessionstate_test.cpp
+++ b/tests/core/sessionstate_test.cpp
@@ -208,7 +208,7 @@
     // nearly all reads do.
     SessionDefaults defaults;
     defaults.database = "booking";
-    defaults.startsKnown = true;
+    defaults.startsWithCompleteFloor = true;
     defaults.readsRaiseFloor = false;
     SessionState session(defaults, std::make_shared<const SessionTokenCodec>(std::vector<std::string>{}), TimePoint{});
     session.onSeen(LogMark{1, 10}, Freshness{}, StatementKind::Write);
--- a/tests/core/statementproof_test.cpp
+++ b/tests/core/statementproof_test.cpp
@@ -30,14 +30,14 @@
     return status;
 }
 
-GroupMonitorOptions options(bool asksOnlySilent)
+GroupMonitorOptions options(bool probesOnlySilent)
 {
     GroupMonitorOptions options;
-    options.leaderProvesItself = true;
-    options.asksOnlySilent = asksOnlySilent;
+    options.primaryProvesItself = true;
+    options.probesOnlySilent = probesOnlySilent;
     options.idleInterval = milliseconds{500};
     options.busyInterval = milliseconds{20};
-    options.hurryInterval = milliseconds{20};
+    options.urgentInterval = milliseconds{20};
     return options;
 }
 
@@ -179,7 +179,7 @@
         }
     }
     BOOST_TEST(rounds == 28, rounds << " rounds");
-    monitor.onTrouble(at(6610));
+    monitor.onRequestFailed(at(6610));
     BOOST_TEST((monitor.nextProbeAt(at(6610), false) <= at(6630)), "an opinion would have to wait too long for a round");
 }
 
--- a/tests/core/storeepoch_test.cpp
+++ b/tests/core/storeepoch_test.cpp
@@ -12,19 +12,19 @@
 BOOST_AUTO_TEST_CASE(AreOptional)
 {
     StoreEpochTracker tracker;
-    BOOST_TEST((tracker.onAnswer("") == EpochNews::Current));
+    BOOST_TEST((tracker.onAnswer("") == EpochChange::Current));
     BOOST_TEST(tracker.current() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(OnlyRise)
 {
     StoreEpochTracker tracker;
-    BOOST_TEST((tracker.onAnswer("3") == EpochNews::Advanced));
-    BOOST_TEST((tracker.onAnswer("3") == EpochNews::Current));
-    BOOST_TEST((tracker.onAnswer("2") == EpochNews::Fallen));
+    BOOST_TEST((tracker.onAnswer("3") == EpochChange::Advanced));
+    BOOST_TEST((tracker.onAnswer("3") == EpochChange::Current));
+    BOOST_TEST((tracker.onAnswer("2") == EpochChange::Decreased));
     BOOST_TEST(tracker.current() == 3U);
-    BOOST_TEST((tracker.onAnswer("5") == EpochNews::Advanced));
-    BOOST_TEST((tracker.onAnswer("") == EpochNews::Current));
+    BOOST_TEST((tracker.onAnswer("5") == EpochChange::Advanced));
+    BOOST_TEST((tracker.onAnswer("") == EpochChange::Current));
     BOOST_TEST(tracker.current() == 5U);
 }
 
@@ -33,7 +33,7 @@
     StoreEpochTracker tracker;
     tracker.onAnswer("3");
     for (const char *text : {"x", "4x", "-4", "4.5", "16777216", "99999999999999999999999"}) {
-        BOOST_TEST((tracker.onAnswer(text) == EpochNews::Malformed), text << " was accepted");
+        BOOST_TEST((tracker.onAnswer(text) == EpochChange::Malformed), text << " was accepted");
     }
     BOOST_TEST(tracker.current() == 3U);
 }
--- a/tests/core/switchover_test.cpp
+++ b/tests/core/switchover_test.cpp
@@ -73,7 +73,7 @@
 {
     BOOST_TEST(holds<PauseWrites>(switchover.start(snapshot, "b", 2, at(0))));
     BOOST_TEST(switchover.onOpenTransactions(1, at(5)).empty());
-    BOOST_TEST(holds<WatchMarks>(switchover.onOpenTransactions(0, at(10))));
+    BOOST_TEST(holds<RequestFrequentRounds>(switchover.onOpenTransactions(0, at(10))));
     BOOST_TEST(switchover.onSnapshot(provenAt(9, 10, 10), at(11)).empty(),
                "a mark proven before the last write ended is not the last mark");
     BOOST_TEST(switchover.onSnapshot(provenAt(12, 12, 11), at(14)).empty(), "the successor is one entry behind");
--- a/tests/core/upstreamsuccession_test.cpp
+++ b/tests/core/upstreamsuccession_test.cpp
@@ -35,7 +35,7 @@
     database.name = "booking";
     database.upstreams = std::move(upstreams);
     configuration.databases.push_back(std::move(database));
-    succession.settle(configuration);
+    succession.removeSuperseded(configuration);
     std::vector<std::string> names;
     for (const UpstreamSpec &upstream : configuration.databases.front().upstreams) {
         names.push_back(upstream.name);
@@ -95,11 +95,11 @@
     configuration.databases.emplace_back();
     configuration.databases.front().upstreams = {upstreamAt("old", "10.0.0.1:1", 5), upstreamAt("new", "10.0.0.1:1", 1)};
     Configuration again = configuration;
-    const auto reported = succession.settle(configuration);
+    const auto reported = succession.removeSuperseded(configuration);
     BOOST_REQUIRE(reported.size() == 1U);
     BOOST_TEST(reported.front().name == "old");
     BOOST_TEST(reported.front().successor == "new");
-    BOOST_TEST(succession.settle(again).empty(), "a superseded upstream was reported twice");
+    BOOST_TEST(succession.removeSuperseded(again).empty(), "a superseded upstream was reported twice");
 }
 
 BOOST_AUTO_TEST_CASE(LeaveOneForEachAddress)
--- a/tests/runtime/front_test.cpp
+++ b/tests/runtime/front_test.cpp
@@ -553,7 +553,8 @@
 BOOST_AUTO_TEST_CASE(NeverReportsNotRunForAWriteThatWasSent)
 {
     BOOST_TEST(hintAfterMove({}) == "Outcome unknown. Check before sending again.");
-    BOOST_TEST(hintAfterMove({.trustsNotRun = true}).starts_with("Not run."), "the test does not detect the injected fault");
+    BOOST_TEST(hintAfterMove({.acceptsLastRefusal = true}).starts_with("Not run."),
+               "the test does not detect the injected fault");
 }
 
 BOOST_AUTO_TEST_CASE(AWriteWaitsForANewPrimaryAndThenRunsOnce)
@@ -579,7 +580,7 @@
 {
     FrontOptions options;
     // Only an announcement can end the later waits.
-    options.longestPrimaryPoll = std::chrono::seconds(60);
+    options.maximumPrimaryRetryDelay = std::chrono::seconds(60);
     RunningFront running(options);
     const Caller caller(running, "user=branch options='-c egrettide.timeout=60s'");
     running.home.setScript(answering("INSERT", FakeHome::refusal(ErrorKind::NoPrimary, false)));
@@ -665,7 +666,7 @@
 BOOST_AUTO_TEST_CASE(ALateReplyIsNotUsedAsTheAnswer)
 {
     BOOST_TEST(answerDespiteLateReply({}) == "right");
-    BOOST_TEST(answerDespiteLateReply({.takesLateReplies = true}) == "wrong", "the test does not detect the injected fault");
+    BOOST_TEST(answerDespiteLateReply({.acceptsLateReplies = true}) == "wrong", "the test does not detect the injected fault");
 }
 
 BOOST_AUTO_TEST_CASE(ForwardsErrorsOfTheUpstream)
@@ -752,7 +753,7 @@
 BOOST_AUTO_TEST_CASE(NothingMoreOfALostTransactionRuns)
 {
     BOOST_TEST(ranAfterLoss({}) == 0U);
-    BOOST_TEST(ranAfterLoss({.forgetsLostTransactions = true}) == 2U, "the test does not detect the injected fault");
+    BOOST_TEST(ranAfterLoss({.ignoresLostTransactions = true}) == 2U, "the test does not detect the injected fault");
 }
 
 BOOST_AUTO_TEST_CASE(ALostTransactionStaysAbortedUntilItsCallerEndsIt)
--- a/tests/runtime/membershipdriver_test.cpp
+++ b/tests/runtime/membershipdriver_test.cpp
@@ -92,14 +92,14 @@
     boost::asio::io_context context;
     ListStore store(context);
     store.listed = {ListedHost{"mate", "zone-a", "10.0.0.2:1", false}};
-    bool hasMetZone = false;
+    bool hasDiscoveredZone = false;
     MembershipDriver *started = nullptr;
     MembershipDriverHooks hooks;
     hooks.send = [](const std::string &, const std::string &, hop::HopMessage) {};
-    hooks.changed = [&](const std::shared_ptr<const MembershipView> &) { hasMetZone = started->hasMetZone(); };
+    hooks.changed = [&](const std::shared_ptr<const MembershipView> &) { hasDiscoveredZone = started->hasDiscoveredZone(); };
     hooks.reachChanged = [](const HostReach &) {};
     hooks.catalogAdvertised = [](const std::string &, const CatalogVersion &) {};
-    hooks.isWatcher = [] { return false; };
+    hooks.isStoreReader = [] { return false; };
     MembershipDriver driver(context, store, hostIn("zone-a", "self"), 1, hooks);
     started = &driver;
     driver.start();
@@ -109,7 +109,7 @@
     context.poll();
     BOOST_TEST(store.callCounts().hostLists == 1U,
                "a host that peers discovered early read the list " << store.callCounts().hostLists << " times, not once");
-    BOOST_TEST(hasMetZone, "the host did not report that it has discovered its zone");
+    BOOST_TEST(hasDiscoveredZone, "the host did not report that it has discovered its zone");
     driver.stop();
 }
 
@@ -123,7 +123,7 @@
     hooks.changed = [](const std::shared_ptr<const MembershipView> &) {};
     hooks.reachChanged = [](const HostReach &) {};
     hooks.catalogAdvertised = [](const std::string &, const CatalogVersion &) {};
-    hooks.isWatcher = [] { return false; };
+    hooks.isStoreReader = [] { return false; };
     MembershipDriver driver(context, store, hostIn("zone-a", "self"), 1, hooks);
     driver.start();
     BOOST_TEST_REQUIRE(static_cast<bool>(store.registered));
