--- a/src/runtime/group/groupcontrol.cpp
+++ b/src/runtime/group/groupcontrol.cpp
@@ -1,4 +1,4 @@
-// Control calls over one lasting connection for each upstream.
+// Implements control calls over one long-lived connection for each upstream.
 
 #include "runtime/group/groupcontrol.h"
 #include "runtime/host/timer.h"
@@ -16,14 +16,13 @@
 namespace
 {
 
-// Between two attempts to connect to an upstream that refuses.
+// The delay between attempts to connect to an upstream that refuses connections, doubled after each failure.
 constexpr milliseconds firstBackoff{10};
 constexpr milliseconds lastBackoff{100};
 
 } // namespace
 
-// One upstream's control connection and the calls that wait for it, which run
-// one after the other.
+// One upstream's control connection and its queue of calls, which run one at a time.
 class GroupControl::Channel : public std::enable_shared_from_this<Channel>
 {
 public:
@@ -49,11 +48,11 @@
             }
         });
         m_queue.push_back(call);
-        // Not from within the caller's call.
+        // Posted, so that no handler runs inside the caller's call.
         asio::post(m_context, [self = shared_from_this()] { self->pump(); });
     }
 
-    // Ends without calling anybody; see UpstreamLink::abandon.
+    // Closes without calling any handler; see UpstreamLink::abandon.
     void abandon()
     {
         m_closed = true;
@@ -79,7 +78,7 @@
         {
         }
         TimePoint deadline;
-        // Empty once it was called.
+        // Empty after it has been called.
         ControlHandler handler;
         Timer timer;
         std::string bytes;
@@ -117,9 +116,9 @@
         }
     }
 
-    // What goes wrong: an upstream that refuses connections does so at once, and
-    // rounds that follow each other closely would ask it hundreds of times a
-    // second, just when it can't spare a connection.
+    // Opens a connection, or schedules the attempt when the backoff has not passed yet. An upstream that refuses
+    // connections does so at once; without the backoff, frequent rounds would make hundreds of attempts a second
+    // while the upstream has no connection to spare.
     void openWhenDue()
     {
         if (Clock::now() >= m_openAt) {
@@ -146,7 +145,7 @@
             }
             self->m_openAt = Clock::now() + self->m_backoff;
             self->m_backoff = std::min(self->m_backoff * 2, lastBackoff);
-            // Every call that waits shared this attempt; the next call opens anew.
+            // All queued calls depended on this attempt and fail with it; the next call starts a new one.
             const ProbeFailure failure = self->m_connection->lossKind();
             self->m_connection.reset();
             self->failAll(ControlFailure{failure, opened.error().message});
@@ -181,15 +180,15 @@
     }
 
     asio::io_context &m_context;
-    // Its own: a call under way may outlive the GroupControl.
+    // A copy, because a call in progress may outlive the GroupControl.
     const ControlPort m_port;
     const ConnectionSettings m_settings;
     std::shared_ptr<UpstreamLink> m_connection;
-    // Not sent yet, oldest first.
+    // Calls that have not been sent yet, oldest first.
     std::deque<CallPointer> m_queue;
     bool m_running = false;
     bool m_closed = false;
-    // No connection is opened before that.
+    // The earliest time of the next attempt to connect.
     TimePoint m_openAt = TimePoint::min();
     milliseconds m_backoff = firstBackoff;
     Timer m_openTimer;
@@ -236,7 +235,8 @@
     }
 }
 
-// An upstream that takes no token has granted the fence to the call that it answers.
+// Adds the token to granted answers of upstreams that do not return it: a granted answer belongs to the call that it
+// answers.
 ControlHandler GroupControl::namedToken(const std::string &token, ControlHandler handler) const
 {
     if (m_port.codec.answersNameToken) {
@@ -272,14 +272,14 @@
 
 void GroupControl::status(const std::string &upstream, TimePoint deadline, StatusHandler handler)
 {
-    const auto passOn = [handler = std::move(handler)](tl::expected<ControlAnswer, ControlFailure> answer) {
+    const auto forwardStatus = [handler = std::move(handler)](tl::expected<ControlAnswer, ControlFailure> answer) {
         if (answer) {
             handler(answer->status);
         } else {
             handler(tl::unexpected(answer.error()));
         }
     };
-    call(upstream, m_port.codec.status(), deadline, passOn);
+    call(upstream, m_port.codec.status(), deadline, forwardStatus);
 }
 
 void GroupControl::follow(const std::string &upstream, Term term, const std::string &token, const std::string &primary,
@@ -318,14 +318,14 @@
         settings.sendsCancel = false;
         channel = std::make_shared<Channel>(m_context, m_port, std::move(settings));
     }
-    // The name in the row is the upstream's own; here the configuration's counts.
-    const auto renamed = [upstream, handler = std::move(handler)](tl::expected<ControlAnswer, ControlFailure> answer) {
+    // Replaces the name in the row, which is the upstream's own, by the configured name.
+    const auto withConfiguredName = [upstream, handler = std::move(handler)](tl::expected<ControlAnswer, ControlFailure> answer) {
         if (answer) {
             answer->status.upstream = upstream;
         }
         handler(std::move(answer));
     };
-    channel->call(std::move(batch), deadline, renamed);
+    channel->call(std::move(batch), deadline, withConfiguredName);
 }
 
 } // namespace egrettide
--- a/src/runtime/group/groupcontrol.h
+++ b/src/runtime/group/groupcontrol.h
@@ -1,7 +1,6 @@
-// The narrow interface through which egrettide controls upstreams: status,
-// fence, promote and follow. Everything else of the system knows upstreams'
-// control functions through GroupControlHooks alone; a ControlPort fits them to a
-// protocol.
+// The interface through which egrettide controls upstreams: status, fence, promote
+// and follow. The rest of the system uses these functions only through
+// GroupControlHooks; a ControlPort adapts them to a protocol.
 
 #pragma once
 
@@ -25,8 +24,8 @@
 namespace egrettide
 {
 
-// Why a control call has no answer. It says nothing about whether the upstream
-// acted: the functions are idempotent for one token, so the caller may repeat.
+// Why a control call has no answer. The upstream may have executed the call all the
+// same; the functions are idempotent for one token, so the caller may repeat it.
 struct ControlFailure {
     ProbeFailure failure = ProbeFailure::Timeout;
     std::string message;
@@ -35,8 +34,8 @@
 using StatusHandler = std::function<void(tl::expected<MemberStatus, ControlFailure>)>;
 using ControlHandler = std::function<void(tl::expected<ControlAnswer, ControlFailure>)>;
 
-// The four control functions. Each handler is called exactly once, at the latest
-// at the deadline, and never from within the call.
+// The four control functions. Each handler is called exactly once, at the deadline
+// at the latest, and never from within the call.
 struct GroupControlHooks {
     std::function<void(const std::string &upstream, TimePoint deadline, StatusHandler)> status;
     std::function<void(const std::string &upstream, Term term, const std::string &token, TimePoint deadline, ControlHandler)>
@@ -51,39 +50,39 @@
         follow;
 };
 
-// How one protocol words the control calls and their answers.
+// Encodes the control calls of one protocol and decodes their answers.
 struct ControlCodec {
-    // Each makes the batch of one call.
+    // Each of these encodes the batch of one call.
     std::function<std::string()> status;
     std::function<std::string(Term term, const std::string &token)> fence;
     std::function<std::string(Term term, const std::string &token)> promote;
     std::function<std::string(Term term, const std::string &token, const std::string &primaryAddress)> follow;
-    // True when a granted fence names the token that it was granted to.
+    // True when the answer to a granted fence contains the token that it was granted to.
     bool answersNameToken = true;
-    // Reads the answer to any of them.
+    // Decodes the answer to any of these calls.
     std::function<tl::expected<ControlAnswer, ControlFailure>(const BatchAnswer &)> answer;
 };
 
-// A promotion that is ordered elsewhere than at the upstream itself.
+// A promotion that is requested from another system than the upstream itself.
 struct PromoteOrder {
     std::string database;
     std::string upstream;
     Term term = 0;
-    // Rises with every holder of the group's claim; 0 when there is no claim.
+    // Increases with every holder of the group's claim; 0 when there is no claim.
     std::uint64_t fencingToken = 0;
 };
 using PromoteHook = std::function<void(const PromoteOrder &order, TimePoint deadline, ControlHandler handler)>;
 
-// What GroupControl needs to know of a protocol.
+// The protocol-specific part of GroupControl.
 struct ControlPort {
     UpstreamLinkFactory makeLink;
     ControlCodec codec;
-    // Set where the upstream itself cannot be told to lead.
+    // Set where the upstream itself has no function that promotes it.
     PromoteHook promote;
 };
 
-// Makes the calls over one lasting connection for each upstream. Used from the
-// thread of its io_context alone.
+// Makes the calls over one long-lived connection for each upstream. Not thread-safe:
+// used only from the thread of its io_context.
 class GroupControl
 {
 public:
@@ -92,9 +91,9 @@
     GroupControl(const GroupControl &) = delete;
     GroupControl &operator=(const GroupControl &) = delete;
 
-    // Connections of upstreams that are gone or have moved are closed.
+    // Closes the connections of upstreams that were removed or have a new address.
     void update(const DatabaseSpec &database);
-    // Ends every call with a failure.
+    // Completes every pending call with a failure.
     void close();
     // Valid for as long as this object.
     GroupControlHooks hooks();
--- a/src/runtime/group/groupcoordination.cpp
+++ b/src/runtime/group/groupcoordination.cpp
@@ -1,4 +1,4 @@
-// Opinions, claims, records and announcements around a promotion.
+// Implements the opinions, claims, records and announcements of a promotion.
 
 #include "runtime/group/groupcoordination.h"
 
@@ -24,7 +24,7 @@
             {"claimedOver", record.claimedOver}};
 }
 
-// A damaged record counts as none: it is a hint only.
+// Treats a malformed record as an absent one, because records are only hints.
 GroupRecord groupRecordFrom(const nlohmann::json &value)
 {
     GroupRecord record;
@@ -42,7 +42,7 @@
 
 using StoreAnswer = tl::expected<VersionedObject, StoreError>;
 
-// Nothing when the store did not answer; an absent record has version 0.
+// Returns nothing when the store did not answer; an absent record has version 0.
 std::optional<VersionedRecord> recordIn(const StoreAnswer &answer)
 {
     if (answer) {
--- a/src/runtime/group/groupcoordination.h
+++ b/src/runtime/group/groupcoordination.h
@@ -1,7 +1,7 @@
 // What a promotion needs from the rest of the system: the opinions of the group's
-// other homes, the claim and the lasting record in the platform's store, and the
-// announcement. None of it is what makes a promotion safe (the fence at a
-// majority of the group is); it keeps promotions from being needless or duelling.
+// other homes, the claim and the persistent record in the platform's store, and the
+// announcement. Safety does not depend on any of these (the fence at a majority of
+// the group provides it); they prevent needless and competing promotions.
 
 #pragma once
 
@@ -34,7 +34,7 @@
     GroupCoordination(const GroupCoordination &) = delete;
     GroupCoordination &operator=(const GroupCoordination &) = delete;
 
-    // The hooks that observers call; those of the writes' pause stay unset.
+    // The hooks for observers. `pauseWrites` and `resumeWrites` stay unset.
     GroupObserverHooks observerHooks();
 
     void onOpinionReply(const std::string &from, const hop::OpinionReply &reply);
@@ -59,7 +59,7 @@
 
     Store &m_store;
     GroupCoordinationHooks m_hooks;
-    // Questions without an answer yet, by their number.
+    // Unanswered questions by id.
     std::map<std::uint64_t, Question> m_questions;
     std::uint64_t m_nextQuestion = 1;
 };
--- a/src/runtime/group/grouphint.cpp
+++ b/src/runtime/group/grouphint.cpp
@@ -1,4 +1,4 @@
-// Hints about a group.
+// Implements the hints about a group.
 
 #include "runtime/group/grouphint.h"
 
@@ -17,7 +17,7 @@
         entry.upstream = member.upstream;
         entry.replayed = member.replayed;
         entry.age = gate.provenAge(snapshot, member, now).value_or(unprovenAge);
-        // Of whom nothing is known, its own home will say more.
+        // A member of unknown reachability counts as reachable: its own home decides.
         entry.reachable = member.reachable || !member.judged;
         entry.leaving = member.leaving;
         hint.members.push_back(std::move(entry));
--- a/src/runtime/group/grouphint.h
+++ b/src/runtime/group/grouphint.h
@@ -1,4 +1,4 @@
-// Makes the hint that a home sends to fronts with every answer.
+// Makes the hint that a home attaches to every answer to a front.
 
 #pragma once
 
@@ -9,11 +9,11 @@
 namespace egrettide
 {
 
-// The age in a hint of a member that nothing is proven about.
+// The age that a hint gives for a member without any proof of freshness.
 constexpr milliseconds unprovenAge{std::chrono::hours{24}};
 
-// What fronts may know of a group as this host sees it now. The expected waits
-// are left at 0: only the home of a member knows its own.
+// Returns this host's current view of a group in the form that fronts receive. The
+// expected waits are 0: only the home of a member can compute them.
 GroupHint hintOf(const GroupSnapshot &snapshot, const FreshnessGate &gate, TimePoint now);
 
 } // namespace egrettide
--- a/src/runtime/group/grouplog.cpp
+++ b/src/runtime/group/grouplog.cpp
@@ -1,4 +1,4 @@
-// The story of a group's promotions and planned changes, line by line.
+// Logs the promotions and planned changes of a group.
 
 #include "runtime/group/grouplog.h"
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-// Between two lines about attempts that end alike.
+// The minimum time between log lines about attempts that end for the same reason.
 constexpr milliseconds repeatSpacing{5000};
 
 std::string_view nameOf(GiveUpReason reason)
@@ -74,7 +74,7 @@
     return "clock_gap";
 }
 
-// "m1 3:12 received, m2 3:14 received": what the choice was made from.
+// Lists the marks that the successor was chosen from, for example "m1 3:12, m2 3:14".
 std::string describe(const std::map<std::string, MemberStatus> &promises)
 {
     std::ostringstream text;
--- a/src/runtime/group/grouplog.h
+++ b/src/runtime/group/grouplog.h
@@ -1,5 +1,5 @@
-// One line for each decision of a promotion or of a planned change, with the inputs
-// that decided it, so that a group's story can be read from the logs alone.
+// Logs one line for each decision of a promotion or planned change, with the inputs of
+// the decision, so that the logs alone show what happened to a group and why.
 
 #pragma once
 
@@ -13,14 +13,14 @@
 namespace egrettide::detail
 {
 
-// Logs what the promoter wants done, bounded: fences, which are sent again and again, once
-// for each attempt, and attempts that end as the one before did, once in five seconds.
+// Logs the promoter's actions at a bounded rate: fences, which are sent repeatedly, once for
+// each attempt, and attempts that end for the same reason as the previous one once every 5 s.
 class PromotionLog
 {
 public:
     explicit PromotionLog(std::string database);
 
-    // `promoter` is the one that wants it, as it stands now.
+    // `promoter` is the promoter that requests the action, in its current state.
     void onAction(const PromoterAction &action, const Promoter &promoter);
     void onClaim(AttemptId attempt, const ClaimAnswer &answer) const;
 
@@ -31,11 +31,11 @@
     AttemptId m_fencedAttempt = 0;
     std::optional<GiveUpReason> m_lastReason;
     TimePoint m_lastReasonAt;
-    // Attempts that ended as the last logged one since.
+    // Attempts since the last logged one that ended for the same reason.
     std::uint64_t m_repeated = 0;
 };
 
-// What a planned change does to its group. `primary` is the one that is to be replaced.
+// Logs one action of a planned change. `primary` is the primary to be replaced.
 void logPlannedChange(const std::string &database, const std::string &primary, const SwitchoverAction &action);
 
 } // namespace egrettide::detail
--- a/src/runtime/group/groupobserver.cpp
+++ b/src/runtime/group/groupobserver.cpp
@@ -1,4 +1,4 @@
-// Events of a group and commits that wait for proof.
+// Implements the events of a group and the commits that wait for proof.
 
 #include "runtime/group/groupobserverimpl.h"
 
@@ -39,8 +39,8 @@
 namespace
 {
 
-// What an observer has to know of a database's members, to be compared.
-std::vector<std::tuple<std::string, std::string, std::string, bool>> describe(const DatabaseSpec &database)
+// Returns the properties of a database's members that matter to an observer, for comparison.
+std::vector<std::tuple<std::string, std::string, std::string, bool>> memberProperties(const DatabaseSpec &database)
 {
     std::vector<std::tuple<std::string, std::string, std::string, bool>> members;
     for (const UpstreamSpec &upstream : database.upstreams) {
@@ -71,7 +71,7 @@
     makePromoter();
 }
 
-void GroupObserver::Impl::tellAnswer(const StatementProof &proof)
+void GroupObserver::Impl::postStatementAnswer(const StatementProof &proof)
 {
     asio::post(m_context, [self = shared_from_this(), proof] { self->onStatementAnswer(proof); });
 }
@@ -94,11 +94,11 @@
     resolve(m_gate.abandonAll());
 }
 
-// Most configurations change nothing here, and a change of members forgets
-// every proof and any running attempt: only real changes are passed on.
+// Passes on only real changes: most new configurations leave the members as they are,
+// and a change of members discards every proof and any running attempt.
 void GroupObserver::Impl::update(const DatabaseSpec &database, const std::set<std::string> &homes)
 {
-    const bool sameMembers = describe(database) == describe(m_database);
+    const bool sameMembers = memberProperties(database) == memberProperties(m_database);
     const bool promoterStays = homes.contains(m_promoterHome) || homes == m_homes;
     m_database = database;
     m_homes = homes;
@@ -125,12 +125,12 @@
 
 void GroupObserver::Impl::hurry(TimePoint until)
 {
-    m_hurrySince.store(Clock::now());
-    // Only a later time than the last one, or a need after the last proof, is worth a
-    // handover.
-    const bool isServed = m_hurryServed.exchange(false);
-    auto known = m_hurryUntil.load();
-    while (known < until && !m_hurryUntil.compare_exchange_weak(known, until)) { }
+    m_roundsRequestedAt.store(Clock::now());
+    // Posts to the control thread only when `until` extends the current period or the
+    // previous request has already been served.
+    const bool isServed = m_requestServed.exchange(false);
+    auto known = m_frequentRoundsUntil.load();
+    while (known < until && !m_frequentRoundsUntil.compare_exchange_weak(known, until)) { }
     if (isServed || known < until) {
         asio::post(m_context, [self = shared_from_this()] { self->tick(); });
     }
@@ -142,8 +142,9 @@
     return m_published;
 }
 
-// Whoever is asked and does not suspect the primary looks at once: until the next idle
-// probe would be up to half a second, which the group may stand without a primary.
+// A host that is asked and does not suspect the primary probes it at once. Otherwise the
+// next idle probe could be up to half a second away, and the group might be without a
+// primary for that time.
 bool GroupObserver::Impl::agrees(const OpinionQuestion &question)
 {
     const TimePoint now = Clock::now();
@@ -189,7 +190,7 @@
     }
 }
 
-// The public face.
+// The public interface, which forwards to Impl.
 
 GroupObserver::GroupObserver(asio::io_context &control, const DatabaseSpec &database, const std::set<std::string> &homes,
                              const GroupObserverSettings &settings, GroupObserverHooks hooks)
@@ -226,7 +227,7 @@
 
 void GroupObserver::onStatementAnswer(const StatementProof &proof)
 {
-    m_impl->tellAnswer(proof);
+    m_impl->postStatementAnswer(proof);
 }
 
 std::shared_ptr<const GroupSnapshot> GroupObserver::snapshot() const
--- a/src/runtime/group/groupobserverimpl.h
+++ b/src/runtime/group/groupobserverimpl.h
@@ -1,6 +1,6 @@
-// The inside of GroupObserver, shared by the files that implement it: groupobserver.cpp
-// (events and commits), groupobserverrounds.cpp (time and probes),
-// groupobserverpromotion.cpp (what the promoter wants done) and
+// The private part of GroupObserver, shared by the files that implement it:
+// groupobserver.cpp (events and commits), groupobserverrounds.cpp (timers and probes),
+// groupobserverpromotion.cpp (the promoter's actions) and
 // groupobserverswitchover.cpp (planned changes).
 
 #pragma once
@@ -27,7 +27,7 @@
 namespace detail
 {
 
-// One visitor out of a function for each alternative of a variant.
+// Combines one function for each alternative of a variant into a visitor.
 template <class... Handlers> struct Overloaded : Handlers... {
     using Handlers::operator()...;
 };
@@ -48,7 +48,7 @@
     void update(const DatabaseSpec &database, const std::set<std::string> &homes);
     void awaitCommit(Term sentUnder, const MemberStatus &after, TimePoint deadline, CommitHandler handler);
     void hurry(TimePoint until);
-    void tellAnswer(const StatementProof &proof);
+    void postStatementAnswer(const StatementProof &proof);
     void onStatementAnswer(const StatementProof &proof);
     std::shared_ptr<const GroupSnapshot> snapshot() const;
     bool agrees(const OpinionQuestion &question);
@@ -61,16 +61,16 @@
     // Rounds.
     void tick();
     void noticeClockGap(TimePoint now);
-    bool someoneWaits(TimePoint now) const;
+    bool needsFrequentRounds(TimePoint now) const;
     bool isHurried(TimePoint now) const;
     bool awaitsChange() const;
-    void noteServedHurry();
+    void noteServedRequest();
     RoundScope roundScope(TimePoint now);
     void beginRound(TimePoint now);
     void onProbe(RoundId round, const std::string &upstream, TimePoint sentAt,
                  const tl::expected<MemberStatus, ControlFailure> &status);
-    void look(TimePoint now);
-    void logBelief(const GroupSnapshot &view) const;
+    void processView(TimePoint now);
+    void logPrimaryChange(const GroupSnapshot &view) const;
     void publish();
     void learnAnnounced(Term term, const std::string &primary);
     void arm();
@@ -81,8 +81,8 @@
 
     // Promotion.
     void perform(const PromoterActions &actions);
-    // Runs `then` on the control thread if this observer still runs, whatever
-    // thread the answer comes in on.
+    // Posts `then` to the control thread, from any thread; it runs there if the observer
+    // has not been stopped.
     template <class Then> void onControl(Then then)
     {
         boost::asio::post(m_context, [weak = weak_from_this(), then = std::move(then)] {
@@ -122,7 +122,7 @@
 
     boost::asio::io_context &m_context;
     DatabaseSpec m_database;
-    // The upstreams whose home this host is.
+    // The upstreams that this host is the home of.
     std::set<std::string> m_homes;
     const GroupObserverSettings m_settings;
     const GroupObserverHooks m_hooks;
@@ -132,7 +132,7 @@
     GroupMonitor m_monitor;
     CommitGate m_gate;
     Switchover m_switchover;
-    // The home that this host speaks as; one of m_homes.
+    // The home that the promoter acts for; one of m_homes.
     std::string m_promoterHome;
     std::unique_ptr<Promoter> m_promoter;
     detail::PromotionLog m_promotionLog;
@@ -140,16 +140,16 @@
     bool m_running = false;
     Timer m_timer;
     bool m_armed = false;
-    // When the armed timer should fire.
+    // The time that the armed timer is set to.
     TimePoint m_armedFor;
     bool m_roundNow = false;
-    // Rounds follow each other closely until then.
-    std::atomic<TimePoint> m_hurryUntil{TimePoint::min()};
-    // When a proof was last asked for, and whether a newer one has come.
-    std::atomic<TimePoint> m_hurrySince{TimePoint::min()};
-    std::atomic<bool> m_hurryServed{false};
+    // Rounds run at the short interval until then.
+    std::atomic<TimePoint> m_frequentRoundsUntil{TimePoint::min()};
+    // When frequent rounds were last requested, and whether a newer proof has arrived since.
+    std::atomic<TimePoint> m_roundsRequestedAt{TimePoint::min()};
+    std::atomic<bool> m_requestServed{false};
 
-    // The view that was last looked at.
+    // The view that was last processed.
     std::shared_ptr<const GroupSnapshot> m_seen;
     // The highest announced term and its primary.
     Term m_announcedTerm = 0;
@@ -161,7 +161,7 @@
     std::map<CommitId, CommitHandler> m_commits;
 
     DoneHandler m_switchoverDone;
-    // Whose writes a planned change holds back.
+    // The upstream whose writes a planned change pauses.
     std::string m_pausedUpstream;
     TimePoint m_nextOwnChangeAt = TimePoint::min();
 };
--- a/src/runtime/group/groupobserverpromotion.cpp
+++ b/src/runtime/group/groupobserverpromotion.cpp
@@ -1,4 +1,4 @@
-// What the promoter wants done: opinions, claims, fences, promotions, announcements.
+// Executes the promoter's actions: opinions, claims, fences, promotions and announcements.
 
 #include "runtime/group/groupobserverimpl.h"
 
--- a/src/runtime/group/groupobserverrounds.cpp
+++ b/src/runtime/group/groupobserverrounds.cpp
@@ -1,4 +1,4 @@
-// Time, probes in rounds, and the view that they give.
+// Implements the timers, the rounds of probes and the publishing of their view.
 
 #include "runtime/group/groupobserverimpl.h"
 
@@ -12,7 +12,7 @@
 
 using detail::namesOf;
 
-// Everything that time brings.
+// Runs everything that is due by now and arms the timer again.
 void GroupObserver::Impl::tick()
 {
     if (!m_running) {
@@ -24,16 +24,16 @@
     resolve(m_gate.onTimer(now));
     perform(m_promoter->onTimer(now));
     perform(m_switchover.onTimer(now));
-    if (m_roundNow || now >= m_monitor.nextProbeAt(now, someoneWaits(now))) {
+    if (m_roundNow || now >= m_monitor.nextProbeAt(now, needsFrequentRounds(now))) {
         beginRound(now);
     }
-    look(now);
+    processView(now);
     arm();
 }
 
-// What goes wrong: a process that stood still, or whose host slept, wakes up
-// with views and promises that others have moved past. A timer that fires far
-// too late shows it; what was held then is not acted on.
+// A process that was suspended, or whose host was, resumes with outdated views and
+// promises. A timer that fires far too late detects this; the outdated state is then
+// not acted on.
 void GroupObserver::Impl::noticeClockGap(TimePoint now)
 {
     if (!m_armed || now <= m_armedFor + m_settings.clockGap) {
@@ -48,13 +48,14 @@
     }
 }
 
-bool GroupObserver::Impl::someoneWaits(TimePoint now) const
+bool GroupObserver::Impl::needsFrequentRounds(TimePoint now) const
 {
     return m_gate.waiting() > 0 || isHurried(now) || awaitsChange();
 }
 
-// Opinions, claims and fences bring their own answers. Asking the group every 20 ms for as
-// long as a promotion can't be had, as in a zone that is cut off, tells nothing new.
+// Waiting for opinions, claims or fences needs no rounds, as these have their own answers.
+// Probing the group every 20 ms while no promotion is possible, as in an isolated zone,
+// would give no new information.
 bool GroupObserver::Impl::awaitsChange() const
 {
     const bool promotes = m_settings.monitor.asksOnlySilent ? m_promoter->awaitsGroup() : m_promoter->running();
@@ -63,29 +64,29 @@
 
 bool GroupObserver::Impl::isHurried(TimePoint now) const
 {
-    return now < m_hurryUntil.load() && !m_hurryServed.load();
+    return now < m_frequentRoundsUntil.load() && !m_requestServed.load();
 }
 
-// What goes wrong without it: a connection breaks, and the group is asked every 20 ms for
-// two seconds although the first answer proved all that was wanted; at an upstream that
-// loses one answer in twenty that is a twentieth of its slots. Where an upstream checks
-// marks, one proof that is newer than the need serves everybody who waits.
-void GroupObserver::Impl::noteServedHurry()
+// Ends the frequent rounds once a proof newer than the request has arrived: where upstreams
+// check marks, one such proof serves every waiting caller. Without this, one broken
+// connection causes probes every 20 ms for 2 s although the first answer was sufficient; at
+// an upstream that loses one answer in twenty these probes take a twentieth of its slots.
+void GroupObserver::Impl::noteServedRequest()
 {
     const auto proof = m_monitor.newestWatermark();
-    if (m_settings.monitor.asksOnlySilent && proof && proof->sentAt > m_hurrySince.load()) {
-        m_hurryServed.store(true);
+    if (m_settings.monitor.asksOnlySilent && proof && proof->sentAt > m_roundsRequestedAt.load()) {
+        m_requestServed.store(true);
     }
 }
 
-// A change of the primary needs to know all members; whoever waits for a proof needs the
-// primary's word.
+// A change of the primary needs the status of all members; a caller that waits for a proof
+// needs only the primary's.
 RoundScope GroupObserver::Impl::roundScope(TimePoint now)
 {
     if (std::exchange(m_roundNow, false) || awaitsChange()) {
         return RoundScope::All;
     }
-    return someoneWaits(now) ? RoundScope::Proof : RoundScope::Silent;
+    return needsFrequentRounds(now) ? RoundScope::Proof : RoundScope::Silent;
 }
 
 void GroupObserver::Impl::onStatementAnswer(const StatementProof &proof)
@@ -95,7 +96,7 @@
     }
     const TimePoint now = Clock::now();
     m_monitor.onStatementAnswer(proof, now);
-    look(now);
+    processView(now);
 }
 
 void GroupObserver::Impl::beginRound(TimePoint now)
@@ -125,17 +126,17 @@
     } else {
         m_monitor.onProbeFailed(round, upstream, status.error().failure, now);
     }
-    look(now);
+    processView(now);
     arm();
 }
 
-// Acts on what the view shows now.
-void GroupObserver::Impl::look(TimePoint now)
+// Processes the monitor's current view and suspicion.
+void GroupObserver::Impl::processView(TimePoint now)
 {
-    noteServedHurry();
+    noteServedRequest();
     const auto view = m_monitor.snapshot();
     if (view != m_seen) {
-        logBelief(*view);
+        logPrimaryChange(*view);
         m_seen = view;
         publish();
         perform(m_promoter->onGroup(*view, m_monitor.statuses(), now));
@@ -148,8 +149,8 @@
     }
 }
 
-// One line for each change of what this host believes about the group's primary.
-void GroupObserver::Impl::logBelief(const GroupSnapshot &view) const
+// Logs one line for each change of the group's primary as this host sees it.
+void GroupObserver::Impl::logPrimaryChange(const GroupSnapshot &view) const
 {
     const bool same = m_seen && m_seen->primary == view.primary && m_seen->term == view.term
         && m_seen->primaryConfirmed == view.primaryConfirmed;
@@ -160,9 +161,9 @@
     }
 }
 
-// Publishes the monitor's view. While an announced term has not been seen by a
-// round, the announced primary stands in, unconfirmed: writes find it at once,
-// and if it is none it refuses them.
+// Publishes the monitor's view. Until a round observes an announced term, the view
+// names the announced primary, unconfirmed: writes reach it at once, and a member
+// that is not the primary refuses them.
 void GroupObserver::Impl::publish()
 {
     std::shared_ptr<const GroupSnapshot> view = m_monitor.snapshot();
@@ -198,7 +199,7 @@
 void GroupObserver::Impl::arm()
 {
     const TimePoint now = Clock::now();
-    TimePoint next = m_monitor.nextProbeAt(now, someoneWaits(now));
+    TimePoint next = m_monitor.nextProbeAt(now, needsFrequentRounds(now));
     for (const auto &due : {m_gate.nextDeadline(), m_promoter->nextTimerAt(), m_switchover.nextTimerAt()}) {
         next = std::min(next, due.value_or(TimePoint::max()));
     }
--- a/src/runtime/group/groupobserverswitchover.cpp
+++ b/src/runtime/group/groupobserverswitchover.cpp
@@ -1,4 +1,4 @@
-// Planned changes of the primary.
+// Implements planned changes of the primary.
 
 #include "runtime/group/groupobserverimpl.h"
 
@@ -15,10 +15,10 @@
 namespace
 {
 
-// After a planned change that this host started by itself and that failed.
+// The minimum time between planned changes that this host starts without an operator's request.
 constexpr milliseconds ownChangeSpacing{2000};
-// Stands for "not reported yet" until the home says how much is in progress.
-constexpr std::size_t unknownOpen = 1;
+// The assumed number of open transactions until the home reports the actual one.
+constexpr std::size_t assumedOpenTransactions = 1;
 
 Error switchoverError(SwitchoverFailure failure)
 {
@@ -73,16 +73,16 @@
 void GroupObserver::Impl::startSwitchover(const std::string &to)
 {
     const TimePoint now = Clock::now();
-    perform(m_switchover.start(*m_monitor.snapshot(), to, unknownOpen, now));
+    perform(m_switchover.start(*m_monitor.snapshot(), to, assumedOpenTransactions, now));
     tick();
 }
 
-// A primary that the operators take away, or whose term has to be renewed, is
-// changed by its own home without being asked.
+// The home of a primary that the configuration marks as leaving, or whose term has to
+// be renewed, starts the change by itself.
 void GroupObserver::Impl::startOwnChange(const GroupSnapshot &view, TimePoint now)
 {
-    const bool mine = m_homes.contains(view.primary) && view.primaryConfirmed;
-    if (!mine || m_switchover.running() || m_promoter->running() || now < m_nextOwnChangeAt) {
+    const bool isHome = m_homes.contains(view.primary) && view.primaryConfirmed;
+    if (!isHome || m_switchover.running() || m_promoter->running() || now < m_nextOwnChangeAt) {
         return;
     }
     const auto successor = m_promoter->needsRenewal() ? std::optional(view.primary) : successorOfLeaving(view);
--- a/src/runtime/group/sqlcontrol.cpp
+++ b/src/runtime/group/sqlcontrol.cpp
@@ -1,4 +1,4 @@
-// Control functions of upstreams over SQL.
+// Implements the control functions of upstreams over SQL.
 
 #include "runtime/group/sqlcontrol.h"
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-// A row of the control functions by column name.
+// Gives access to one row of a control function's result by column name.
 class RowView
 {
 public:
--- a/src/runtime/group/sqlcontrol.h
+++ b/src/runtime/group/sqlcontrol.h
@@ -1,5 +1,5 @@
-// The control functions of upstreams that speak PostgreSQL, as SQL functions that
-// answer one row each.
+// The control functions of upstreams that speak the PostgreSQL protocol: SQL functions
+// that return one row each.
 
 #pragma once
 
@@ -13,12 +13,12 @@
 namespace egrettide
 {
 
-// Reads one row of the control functions' columns; nothing when a column is
+// Decodes one row of a control function's result. Returns nothing when a column is
 // missing or malformed.
 std::optional<MemberStatus> memberStatusFromRow(const std::vector<std::string> &columns,
                                                 const std::vector<std::optional<std::string>> &values);
 
-// See docs/design/architecture.md for the functions.
+// The codec for these functions; docs/design/architecture.md describes them.
 ControlCodec sqlControlCodec();
 
 } // namespace egrettide
--- a/src/runtime/group/switchoverdesk.cpp
+++ b/src/runtime/group/switchoverdesk.cpp
@@ -1,4 +1,4 @@
-// Brings planned changes of primary to the right home.
+// Routes planned changes of the primary to the primary's home.
 
 #include "runtime/group/switchoverdesk.h"
 #include "runtime/host/timer.h"
@@ -12,9 +12,9 @@
 namespace
 {
 
-// Longer than any switchover: it waits for open transactions.
+// Longer than any switchover, which waits for open transactions.
 constexpr std::chrono::seconds replyBound{40};
-constexpr std::chrono::seconds comeBack{1};
+constexpr std::chrono::seconds retryDelay{1};
 
 OperatorResponse failureResponse(const Error &error)
 {
@@ -22,19 +22,19 @@
         {"error", nameOf(error.kind)}, {"message", error.message}, {"retryAfterMs", error.retryAfter.count()}};
     constexpr unsigned conflict = 409;
     constexpr unsigned badRequest = 400;
-    // The message may come from another host; JSON throws at bytes that are no text.
+    // The message may come from another host; without `replace`, dump() throws on invalid UTF-8.
     std::string text = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     return OperatorResponse{error.kind == ErrorKind::InvalidInput ? badRequest : conflict, "application/json", std::move(text)};
 }
 
-// The asked host is not the primary's home; another one is.
+// True when the asked host is not the primary's home.
 bool isElsewhere(const Error &error)
 {
     return error.kind == ErrorKind::Moved || error.kind == ErrorKind::NoPrimary || error.kind == ErrorKind::UnknownDatabase;
 }
 
-// The replica that has received most, so that writes are held back shortest;
-// empty when there is none.
+// Returns the replica with the highest received mark, which keeps the pause of writes
+// shortest; empty when there is none.
 std::string mostAdvancedReplica(const GroupSnapshot &snapshot)
 {
     const MemberView *best = nullptr;
@@ -56,10 +56,10 @@
 
     std::string database;
     std::string to;
-    // Hosts still to be asked.
+    // Hosts that have not been asked yet.
     std::vector<std::string> hosts;
     Error lastError{ErrorKind::NoPrimary, "No home of the database's primary was found; check that its zone has a live host.",
-                    std::chrono::duration_cast<milliseconds>(comeBack)};
+                    std::chrono::duration_cast<milliseconds>(retryDelay)};
     OperatorResponder respond;
     Timer timer;
 };
@@ -100,7 +100,7 @@
     if (successor.empty()) {
         handler(tl::unexpected(Error{ErrorKind::NoPrimary,
                                      "No replica of \"" + database + "\" is fit to take over as seen from here.",
-                                     std::chrono::duration_cast<milliseconds>(comeBack)}));
+                                     std::chrono::duration_cast<milliseconds>(retryDelay)}));
         return;
     }
     m_homes.switchover(database, successor, std::move(handler));
@@ -145,13 +145,13 @@
         }
         job->respond(failureResponse(Error{ErrorKind::UnknownOutcome,
                                            "The primary's home did not answer; look at the status before you try again.",
-                                           std::chrono::duration_cast<milliseconds>(comeBack)}));
+                                           std::chrono::duration_cast<milliseconds>(retryDelay)}));
     });
 }
 
 void SwitchoverDesk::onRequest(const hop::SwitchoverRequest &request, std::function<void(hop::SwitchoverReply)> reply)
 {
-    // The asking host may have left the choice of the successor to this one.
+    // An empty `to` leaves the choice of the successor to this host.
     changePrimary(request.database, request.to,
                   [id = request.id, reply = std::move(reply)](const tl::expected<void, Error> &result) {
                       hop::SwitchoverReply answer;
--- a/src/runtime/group/switchoverdesk.h
+++ b/src/runtime/group/switchoverdesk.h
@@ -1,6 +1,6 @@
-// Takes operators' requests for a planned change of primary at any host and
-// brings them to the home of the current primary, which alone can hold writes
-// back while the primary changes.
+// Accepts operators' requests for a planned change of the primary on any host and
+// forwards them to the home of the current primary, the only host that can pause
+// writes during the change.
 
 #pragma once
 
@@ -21,7 +21,7 @@
 
 struct SwitchoverDeskHooks {
     std::function<void(const std::string &host, hop::HopMessage)> send;
-    // Homes of the database's upstreams on other hosts.
+    // The other hosts that are homes of the database's upstreams.
     std::function<std::vector<std::string>(const std::string &database)> otherHomes;
 };
 
@@ -33,16 +33,16 @@
     SwitchoverDesk(const SwitchoverDesk &) = delete;
     SwitchoverDesk &operator=(const SwitchoverDesk &) = delete;
 
-    // POST /switchover with {"database", "to"}; answered when the change is over.
+    // Handles POST /switchover with {"database", "to"}; responds when the change has ended.
     void onOperator(const std::string &body, const OperatorResponder &respond);
-    // Another host asks this one.
+    // Handles the request of another host.
     void onRequest(const hop::SwitchoverRequest &request, std::function<void(hop::SwitchoverReply)> reply);
     void onReply(const hop::SwitchoverReply &reply);
 
 private:
     using DoneHandler = std::function<void(tl::expected<void, Error>)>;
     struct Job;
-    // Changes the primary from here, to the most advanced replica where `to` is empty.
+    // Changes the primary if this host is its home, to the most advanced replica where `to` is empty.
     void changePrimary(const std::string &database, const std::string &to, DoneHandler handler);
     void tryNext(const std::shared_ptr<Job> &job);
     void ask(const std::shared_ptr<Job> &job, const std::string &host);
