--- a/src/runtime/group/groupobserverswitchover.cpp
+++ b/src/runtime/group/groupobserverswitchover.cpp
@@ -33,11 +33,12 @@
         return {ErrorKind::NoPrimary, "The primary or the successor was lost or has changed; look at the group and retry.",
                 milliseconds{1000}};
     case SwitchoverFailure::ClockGap:
-        return {ErrorKind::Conflict, "This host stood still during the change; look at the group and retry.", milliseconds{1000}};
+        return {ErrorKind::Conflict, "This host was suspended during the change; look at the group and retry.",
+                milliseconds{1000}};
     case SwitchoverFailure::Cancelled:
         break;
     }
-    return {ErrorKind::Leaving, "The change was called off; nothing has changed. Retry at another time.", milliseconds{1000}};
+    return {ErrorKind::Leaving, "The change was cancelled; nothing has changed. Retry at another time.", milliseconds{1000}};
 }
 
 } // namespace
@@ -57,7 +58,8 @@
     const auto names = namesOf(m_database);
     const auto view = m_monitor.snapshot();
     if (std::ranges::find(names, to) == names.end()) {
-        return Error{ErrorKind::InvalidInput, "'" + to + "' is no upstream of '" + m_database.name + "'; name one that is."};
+        return Error{ErrorKind::InvalidInput,
+                     "'" + to + "' is not an upstream of '" + m_database.name + "'; name one of its upstreams."};
     }
     if (!m_homes.contains(view->primary)) {
         return Error{ErrorKind::Moved, "Only the home of the primary '" + view->primary + "' can change it; ask there.",
--- a/src/runtime/group/switchoverdesk.cpp
+++ b/src/runtime/group/switchoverdesk.cpp
@@ -99,7 +99,7 @@
     }
     if (successor.empty()) {
         handler(tl::unexpected(Error{ErrorKind::NoPrimary,
-                                     "No replica of \"" + database + "\" is fit to take over as seen from here.",
+                                     "No replica of \"" + database + "\" can take over according to this host's view.",
                                      std::chrono::duration_cast<milliseconds>(retryDelay)}));
         return;
     }
--- a/tests/runtime/controlplane.h
+++ b/tests/runtime/controlplane.h
@@ -1,5 +1,5 @@
-// What tests of control parts share: a platform stand-in, an io_context on the
-// test's own thread, and waiting for conditions instead of times.
+// Shared fixture of the tests of control components: a platform stand-in, an io_context
+// that runs on the test's thread, and waiting for conditions instead of fixed times.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 namespace egrettide::test
 {
 
-// Generous: it only decides how long a broken test takes to fail.
+// Long, because it only limits how long a broken test runs before it fails.
 constexpr std::chrono::seconds eventBound{60};
 
 struct ControlPlane {
@@ -21,7 +21,7 @@
     boost::asio::io_context control{1};
     StoreClient store{control, platform.endpoint()};
 
-    // Runs the control context until the condition holds; false at the bound.
+    // Runs the control context until the condition holds; false after eventBound.
     bool runUntil(const std::function<bool()> &condition)
     {
         const TimePoint bound = Clock::now() + eventBound;
--- a/tests/runtime/groupcoordination_test.cpp
+++ b/tests/runtime/groupcoordination_test.cpp
@@ -1,4 +1,4 @@
-// Claims and records of promotions against the platform stand-in, with its faults.
+// Tests claims and records of promotions against the platform stand-in and its injected faults.
 
 #define BOOST_TEST_MODULE GroupCoordination
 #include <boost/test/unit_test.hpp>
@@ -59,15 +59,14 @@
     BOOST_TEST((claim(0, "first").result == ClaimResult::Claimed));
     const ClaimAnswer second = claim(0, "second");
     BOOST_TEST((second.result == ClaimResult::Conflict));
-    BOOST_TEST(second.current.record.claimToken == "first", "the loser must be told who holds the claim");
+    BOOST_TEST(second.current.record.claimToken == "first", "the answer to the losing claim must name the holder");
     BOOST_TEST(storedToken() == "first");
 }
 
-BOOST_FIXTURE_TEST_CASE(TellsALostAnswerFromARefusal, Fixture)
+BOOST_FIXTURE_TEST_CASE(DistinguishesALostAnswerFromARefusal, Fixture)
 {
-    // Symptom: two promoters both believe that they lost, or both that they won.
-    // Sequence: the store applies a claim and its answer is lost.
-    // Cause: taking a lost answer for a failure.
+    // If a lost answer is treated as a failure although the store applied the claim, two
+    // promoters can both conclude that they lost the claim, or both that they hold it.
     platform.loseNextAnswers(1);
     BOOST_TEST((claim(0, "mine").result == ClaimResult::LostAnswer));
     std::optional<VersionedRecord> standing;
@@ -78,9 +77,8 @@
 
 BOOST_FIXTURE_TEST_CASE(NeverWritesOverARecordOfAHigherTerm, Fixture)
 {
-    // Symptom: new hosts are pointed to a primary that was replaced.
-    // Sequence: a slow promoter of term 4 writes its record after that of term 5.
-    // Cause: an unconditional write.
+    // With an unconditional write, a slow promoter of term 4 overwrites the record of
+    // term 5, and new hosts are directed to a primary that has been replaced.
     platform.put(groupRecordKey("d"), {{"term", 5}, {"primary", "newer"}});
     const auto callsBefore = platform.calls().reads;
     GroupRecord late;
--- a/tests/runtime/groupmember_test.cpp
+++ b/tests/runtime/groupmember_test.cpp
@@ -1,6 +1,6 @@
-// The group rules of the upstream stand-in, without sockets: random schedules of
-// writes, replication and promotions, checked against what egrettide builds on
-// them: a confirmed commit is in every later primary.
+// Tests the group rules of the upstream stand-in without sockets: random schedules of
+// writes, replication and promotions must keep the property that egrettide relies on,
+// that every later primary has every confirmed commit.
 
 #define BOOST_TEST_MODULE GroupMember
 #include <boost/test/unit_test.hpp>
@@ -44,26 +44,26 @@
 constexpr std::size_t promoterCount = 2;
 constexpr std::size_t pullEntries = 2;
 
-// A kind of step and two numbers that choose whom it concerns.
+// The kind of a step and two numbers that select the member and the promoter.
 using Step = std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>;
 
-// One promoter's way through a promotion; it may stop after any step.
+// The state of one promoter's promotion, which may stop after any step.
 struct Promoter {
     std::string token;
     Term term = 0;
     std::vector<std::size_t> promisers;
     bool isDone = false;
-    // Whom it promoted; the others learn of it one by one, or never.
+    // The promoted member; the others receive the announcement one by one, or never.
     std::optional<std::size_t> chosen;
 };
 
-// A commit that a home would have acknowledged.
+// A commit that a home would acknowledge.
 struct Confirmed {
     LogMark mark;
     Row written;
 };
 
-// Three members and the promoters that fight over them.
+// Three members and the promoters that compete to promote one of them.
 class Group
 {
 public:
@@ -89,7 +89,7 @@
         switch (kind % 12) {
         case 0:
         case 1:
-            return write(member, m_book, {Value(++m_slots)});
+            return write(member, m_insertBooking, {Value(++m_slots)});
         case 2:
         case 3:
         case 4:
@@ -105,14 +105,14 @@
         case 10:
             return announce(promoter, member);
         default:
-            // Rarely given up half way, or hardly any promotion would be completed.
+            // A promotion in progress is rarely abandoned; otherwise few promotions would complete.
             if (promoter.term == 0 || promoter.isDone || first % 8 == 0) {
                 beginPromotion(promoter);
             }
         }
     }
 
-    // What is wrong now, empty when nothing is.
+    // Describes the violated property; empty when the property holds.
     std::string violation() const
     {
         const GroupMember *leader = highestPrimary();
@@ -138,11 +138,11 @@
             executeStatement(text.statements.front(), parameters, target, transaction);
             target.commit(transaction);
         } catch (const SqlError &) {
-            // Refused: not a primary, or a primary without the table.
+            // The write is refused: the member is not a primary, or lacks the table.
         }
     }
 
-    // A replica asks whomever it may still hold a connection to.
+    // A replica pulls from any member, as it may still hold a connection to an old primary.
     void pull(std::size_t member, std::size_t source)
     {
         GroupMember &replica = *m_members[member];
@@ -158,7 +158,7 @@
         replica.replay(TimePoint());
     }
 
-    // What a home does before it acknowledges the last write of a primary.
+    // Checks what a home checks before it acknowledges the last write of a primary.
     void confirm(std::size_t primary)
     {
         const GroupMember &leader = *m_members[primary];
@@ -166,12 +166,12 @@
             return;
         }
         const LogMark mark = leader.received();
-        const auto stands = std::count_if(m_members.begin(), m_members.end(), [&](const auto &member) {
+        const auto confirming = std::count_if(m_members.begin(), m_members.end(), [&](const auto &member) {
             const MemberStatus status = member->status();
             return status.promisedTerm == leader.followingTerm() && status.received >= mark;
         });
         const bool isKnown = !m_confirmed.empty() && m_confirmed.back().mark == mark;
-        if (static_cast<std::size_t>(stands) >= majority && !isKnown) {
+        if (static_cast<std::size_t>(confirming) >= majority && !isKnown) {
             m_confirmed.push_back({mark, writtenBy(leader.log().back())});
         }
     }
@@ -228,7 +228,7 @@
         return highest;
     }
 
-    // The row that tells one write from every other, empty for the start of a term.
+    // The row that identifies a write; empty for the entry that starts a term.
     static Row writtenBy(const LogEntry &entry)
     {
         return entry.changes.empty() ? Row() : entry.changes.front().values;
@@ -244,7 +244,7 @@
     std::vector<std::unique_ptr<GroupMember>> m_members;
     std::array<Promoter, promoterCount> m_promoters;
     std::vector<Confirmed> m_confirmed;
-    const ParsedText m_book = parseStatements("INSERT INTO booking VALUES ($1)");
+    const ParsedText m_insertBooking = parseStatements("INSERT INTO booking VALUES ($1)");
     std::int64_t m_slots = 0;
 };
 
@@ -273,7 +273,7 @@
     return steps;
 }
 
-// How many of the seeded schedules break the claim.
+// Counts the seeded schedules that violate the property.
 int violations(GroupFaults faults)
 {
     constexpr std::uint64_t schedules = 500;
@@ -298,9 +298,8 @@
 
 BOOST_AUTO_TEST_CASE(ATermGrantedTwiceLosesCommits)
 {
-    // Symptom: a confirmed booking is gone after a promotion.
-    // Sequence: two promoters are granted one term and promote two members.
-    // Cause: a promise that does not remember to whom it was given.
+    // If a promise does not record the token that it was granted to, two promoters can
+    // obtain the same term and promote two members, which loses a confirmed commit.
     GroupFaults faults;
     faults.grantsTermTwice = true;
     BOOST_TEST(violations(faults) > 0, "No schedule shows the fault; the property proves nothing, widen its schedules.");
@@ -308,15 +307,15 @@
 
 BOOST_AUTO_TEST_CASE(EntriesOfAnOldPrimaryLoseCommits)
 {
-    // Symptom: a confirmed booking is gone although its primary stands.
-    // Sequence: a replica of term 2 still asks the primary of term 1 and truncates.
-    // Cause: the sender's term is not compared with the one followed.
+    // If a replica does not compare the sender's term with the term that it follows, a
+    // replica of term 2 that still pulls from the primary of term 1 truncates its log and
+    // loses a confirmed commit although its primary is up.
     GroupFaults faults;
     faults.takesOldEntries = true;
     BOOST_TEST(violations(faults) > 0, "No schedule shows the fault; the property proves nothing, widen its schedules.");
 }
 
-BOOST_AUTO_TEST_CASE(AFenceIsWhatStopsAPrimary)
+BOOST_AUTO_TEST_CASE(AFenceStopsAPrimary)
 {
     GroupFaults faults;
     faults.ignoresFence = true;
--- a/tests/runtime/groupobserver_test.cpp
+++ b/tests/runtime/groupobserver_test.cpp
@@ -1,5 +1,5 @@
-// Observers of three hosts over one group: failover, a primary that wakes up, and
-// a planned change, seen from callers that write all the while.
+// Tests the observers of three hosts over one group: failover, a frozen primary that
+// resumes, and planned changes, while callers write continuously.
 
 #define BOOST_TEST_MODULE GroupObserver
 #include <boost/test/unit_test.hpp>
@@ -19,7 +19,7 @@
     return "INSERT INTO pitch VALUES (" + std::to_string(id) + ", 'v')";
 }
 
-// Writes one row after the other, as a caller with a driver would.
+// Writes rows one at a time, as a caller with a driver does.
 class Writer
 {
 public:
@@ -40,7 +40,7 @@
             m_thread.join();
         }
     }
-    // After stop() only.
+    // Valid only after stop().
     std::set<std::string> acknowledged;
     std::vector<std::string> failures;
     std::atomic<int> count{0};
@@ -86,12 +86,9 @@
 
 BOOST_AUTO_TEST_SUITE(Failover)
 
-// Symptom: bookings that were confirmed to families are gone after the primary's
-// host has died.
-// Sequence: callers write; the primary dies between two writes; a replica is
-// promoted and serves on.
-// Cause: an answer was given before a majority held the write, or a replica that
-// lagged behind was promoted.
+// Acknowledged writes are lost when the primary fails and a replica is promoted, if a
+// write was acknowledged before a majority held it, or if the promoted replica lagged
+// behind.
 BOOST_AUTO_TEST_CASE(AKilledPrimaryIsSucceededWithEveryAcknowledgedWrite)
 {
     Cluster cluster;
@@ -111,20 +108,18 @@
     for (const std::string &failure : first.failures) {
         BOOST_TEST_MESSAGE("failed write: " << failure);
     }
-    // Each change of term may catch the one statement that the writer has under
-    // way; a busy machine may see two changes.
+    // Each change of term may interrupt the one statement that the writer has in
+    // progress; on a busy machine there may be two changes.
     const auto changes = static_cast<std::size_t>(cluster.view()->term - 1);
     BOOST_TEST(first.failures.size() <= changes,
                "a writer with one statement at a time had " << first.failures.size() << " writes without an answer over "
                                                             << changes << " changes of term");
 }
 
-// Symptom: two branches sell the same hour.
-// Sequence: the primary stands still, a successor is promoted, the old primary
-// wakes up and goes on with the writes it had received.
-// Cause: the old primary's answer was believed although a majority had promised a
-// higher term.
-BOOST_AUTO_TEST_CASE(AFrozenPrimaryThatWakesUpAcknowledgesNothing)
+// A frozen primary resumes after a successor was promoted and executes the writes that
+// it had received. If its answer is accepted although a majority has promised a higher
+// term, two callers can book the same slot.
+BOOST_AUTO_TEST_CASE(AFrozenPrimaryThatResumesAcknowledgesNothing)
 {
     Cluster cluster;
     cluster.createTable();
@@ -137,10 +132,10 @@
     const StatementReply reply = Cluster::await(std::move(pending));
     const auto rows = cluster.idsAtPrimary();
     const bool present = std::ranges::find(rows, "2") != rows.end();
-    BOOST_TEST((reply.error.has_value() || present), "the woken primary's write was acknowledged and is not in the successor");
+    BOOST_TEST((reply.error.has_value() || present), "the resumed primary's write was acknowledged and is not in the successor");
     if (reply.error && reply.sent) {
         BOOST_TEST((outcomeOf(reply.error->kind) == Outcome::Unknown),
-                   "a write that was sent is called not run: " << textOf(reply));
+                   "a write that was sent is reported as not executed: " << textOf(reply));
     }
     // The old primary comes back as a replica.
     Cluster::awaitTrue([&] { return cluster.upstream("a").status().followingTerm == cluster.view()->term; },
@@ -164,7 +159,7 @@
     requireAllPresent(cluster, writer.acknowledged);
 }
 
-BOOST_AUTO_TEST_CASE(AReplicasDeathChangesNothing)
+BOOST_AUTO_TEST_CASE(AFailedReplicaDoesNotChangeThePrimary)
 {
     Cluster cluster;
     cluster.createTable();
@@ -178,11 +173,10 @@
     BOOST_TEST(cluster.view()->primary == "a");
 }
 
-// Symptom: a healthy primary is replaced because a host stood still.
-// Sequence: hosts stand still with probes unanswered; they wake up and look at
-// the clock before they look at the answers.
-// Cause: their own silence was taken for the primary's.
-BOOST_AUTO_TEST_CASE(HostsThatStoodStillPromoteNobody)
+// Hosts that are suspended with probes in progress check the clock before the answers
+// when they resume. If they take their own pause for silence of the primary, they replace
+// a healthy primary.
+BOOST_AUTO_TEST_CASE(SuspendedHostsPromoteNoSuccessor)
 {
     Cluster cluster;
     cluster.createTable();
@@ -190,13 +184,12 @@
         cluster.blockControlThreads(milliseconds{1200});
         cluster.awaitSnapshot(Cluster::isWhole, "a proven view after the gap");
     }
-    BOOST_TEST(cluster.view()->term == 1U, "term " << cluster.view()->term << " was begun though the primary was well");
+    BOOST_TEST(cluster.view()->term == 1U, "term " << cluster.view()->term << " was started although the primary was healthy");
     BOOST_TEST(!cluster.write(insert(1)).error.has_value());
 }
 
-// Symptom: a booking that was confirmed is gone after a failover.
-// Sequence: no replica has the write when it is acknowledged; the primary dies.
-// Cause: the primary's word was enough. Here it is made enough on purpose.
+// Injects the fault that the commit gate accepts the primary's answer without a majority:
+// no replica has the write when it is acknowledged, so the failover must lose it.
 BOOST_AUTO_TEST_CASE(WouldLoseAcknowledgedWritesWithoutTheMajority)
 {
     ClusterOptions options;
@@ -216,7 +209,7 @@
     cluster.upstream("c").cut(false);
     awaitSuccessor(cluster, 1);
     const auto rows = cluster.idsAtPrimary();
-    BOOST_TEST((std::ranges::find(rows, "7") == rows.end()), "the proof of acknowledged writes does not notice the fault");
+    BOOST_TEST((std::ranges::find(rows, "7") == rows.end()), "the check for lost acknowledged writes does not detect the fault");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -268,7 +261,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(LetsOpenTransactionsEnd)
+BOOST_AUTO_TEST_CASE(WaitsForOpenTransactionsToEnd)
 {
     Cluster cluster;
     cluster.createTable();
@@ -297,7 +290,7 @@
     BOOST_TEST((changed.error().kind == ErrorKind::Moved), changed.error().message);
 }
 
-BOOST_AUTO_TEST_CASE(HappensByItselfWhenThePrimaryIsLeaving)
+BOOST_AUTO_TEST_CASE(StartsAutomaticallyWhenThePrimaryIsLeaving)
 {
     Cluster cluster;
     cluster.createTable();
