--- a/src/runtime/group/grouphint.cpp
+++ b/src/runtime/group/grouphint.cpp
@@ -18,7 +18,7 @@
         entry.replayed = member.replayed;
         entry.age = gate.provenAge(snapshot, member, now).value_or(unprovenAge);
         // A member of unknown reachability counts as reachable: its own home decides.
-        entry.reachable = member.reachable || !member.judged;
+        entry.reachable = member.reachable || !member.reachabilityKnown;
         entry.leaving = member.leaving;
         hint.members.push_back(std::move(entry));
     }
--- a/src/runtime/group/grouplog.cpp
+++ b/src/runtime/group/grouplog.cpp
@@ -159,7 +159,7 @@
 {
     if (std::holds_alternative<PauseWrites>(action)) {
         log::info("planned_change_begun", {{"database", database}, {"primary", primary}});
-    } else if (std::holds_alternative<WatchMarks>(action)) {
+    } else if (std::holds_alternative<RequestFrequentRounds>(action)) {
         log::info("planned_change_catches_up", {{"database", database}, {"primary", primary}});
     } else if (const auto *start = std::get_if<StartPromotion>(&action)) {
         log::info("planned_change_promotes", {{"database", database}, {"primary", primary}, {"successor", start->successor}});
--- a/src/runtime/group/groupobserver.cpp
+++ b/src/runtime/group/groupobserver.cpp
@@ -123,7 +123,7 @@
     });
 }
 
-void GroupObserver::Impl::hurry(TimePoint until)
+void GroupObserver::Impl::requestRounds(TimePoint until)
 {
     m_roundsRequestedAt.store(Clock::now());
     // Posts to the control thread only when `until` extends the current period or the
@@ -152,8 +152,8 @@
     if (suspicion) {
         return suspicion->term == question.term && suspicion->primary == question.primary;
     }
-    if (m_settings.monitor.asksOnlySilent) {
-        m_monitor.onTrouble(now);
+    if (m_settings.monitor.probesOnlySilent) {
+        m_monitor.onRequestFailed(now);
         asio::post(m_context, [self = shared_from_this()] { self->tick(); });
     }
     return false;
@@ -220,9 +220,9 @@
     m_impl->awaitCommit(sentUnder, after, deadline, std::move(handler));
 }
 
-void GroupObserver::hurry(TimePoint until)
+void GroupObserver::requestRounds(TimePoint until)
 {
-    m_impl->hurry(until);
+    m_impl->requestRounds(until);
 }
 
 void GroupObserver::onStatementAnswer(const StatementProof &proof)
--- a/src/runtime/group/groupobserver.h
+++ b/src/runtime/group/groupobserver.h
@@ -119,7 +119,7 @@
     void awaitCommit(Term sentUnder, const MemberStatus &after, TimePoint deadline, CommitHandler handler);
     // From any thread: requests frequent rounds until then, because a caller waits for a
     // newer view.
-    void hurry(TimePoint until);
+    void requestRounds(TimePoint until);
     // From any thread: an upstream of this host answered a statement.
     void onStatementAnswer(const StatementProof &proof);
     // From any thread: the newest snapshot, never null.
--- a/src/runtime/group/groupobserverimpl.h
+++ b/src/runtime/group/groupobserverimpl.h
@@ -47,7 +47,7 @@
     void stop();
     void update(const DatabaseSpec &database, const std::set<std::string> &homes);
     void awaitCommit(Term sentUnder, const MemberStatus &after, TimePoint deadline, CommitHandler handler);
-    void hurry(TimePoint until);
+    void requestRounds(TimePoint until);
     void postStatementAnswer(const StatementProof &proof);
     void onStatementAnswer(const StatementProof &proof);
     std::shared_ptr<const GroupSnapshot> snapshot() const;
@@ -62,7 +62,7 @@
     void tick();
     void noticeClockGap(TimePoint now);
     bool needsFrequentRounds(TimePoint now) const;
-    bool isHurried(TimePoint now) const;
+    bool isUrgent(TimePoint now) const;
     bool awaitsChange() const;
     void noteServedRequest();
     RoundScope roundScope(TimePoint now);
@@ -117,7 +117,7 @@
     void carryOut(const HandOver &action);
     void resumeWrites();
     void carryOut(const StartPromotion &action);
-    void carryOut(const WatchMarks &);
+    void carryOut(const RequestFrequentRounds &);
     void carryOut(const SwitchoverDone &action);
 
     boost::asio::io_context &m_context;
--- a/src/runtime/group/groupobserverrounds.cpp
+++ b/src/runtime/group/groupobserverrounds.cpp
@@ -50,7 +50,7 @@
 
 bool GroupObserver::Impl::needsFrequentRounds(TimePoint now) const
 {
-    return m_gate.waiting() > 0 || isHurried(now) || awaitsChange();
+    return m_gate.waiting() > 0 || isUrgent(now) || awaitsChange();
 }
 
 // Waiting for opinions, claims or fences needs no rounds, as these have their own answers.
@@ -58,11 +58,11 @@
 // would give no new information.
 bool GroupObserver::Impl::awaitsChange() const
 {
-    const bool promotes = m_settings.monitor.asksOnlySilent ? m_promoter->awaitsGroup() : m_promoter->running();
+    const bool promotes = m_settings.monitor.probesOnlySilent ? m_promoter->awaitsPromotion() : m_promoter->running();
     return promotes || m_switchover.running();
 }
 
-bool GroupObserver::Impl::isHurried(TimePoint now) const
+bool GroupObserver::Impl::isUrgent(TimePoint now) const
 {
     return now < m_frequentRoundsUntil.load() && !m_requestServed.load();
 }
@@ -74,7 +74,7 @@
 void GroupObserver::Impl::noteServedRequest()
 {
     const auto proof = m_monitor.newestWatermark();
-    if (m_settings.monitor.asksOnlySilent && proof && proof->sentAt > m_roundsRequestedAt.load()) {
+    if (m_settings.monitor.probesOnlySilent && proof && proof->sentAt > m_roundsRequestedAt.load()) {
         m_requestServed.store(true);
     }
 }
--- a/src/runtime/group/groupobserverswitchover.cpp
+++ b/src/runtime/group/groupobserverswitchover.cpp
@@ -157,7 +157,7 @@
     perform(m_promoter->startPlanned(action.successor, m_monitor.highestPromised(), Clock::now()));
 }
 
-void GroupObserver::Impl::carryOut(const WatchMarks &)
+void GroupObserver::Impl::carryOut(const RequestFrequentRounds &)
 {
     m_roundNow = true;
 }
