--- a/src/runtime/group/groupobserverswitchover.cpp
+++ b/src/runtime/group/groupobserverswitchover.cpp
@@ -1,4 +1,4 @@
-// Planned changes of the primary.
+// Implements planned changes of the primary.
 
 #include "runtime/group/groupobserverimpl.h"
 
@@ -15,10 +15,10 @@
 namespace
 {
 
-// After a planned change that this host started by itself and that failed.
+// The minimum time between planned changes that this host starts without an operator's request.
 constexpr milliseconds ownChangeSpacing{2000};
-// Stands for "not reported yet" until the home says how much is in progress.
-constexpr std::size_t unknownOpen = 1;
+// The assumed number of open transactions until the home reports the actual one.
+constexpr std::size_t assumedOpenTransactions = 1;
 
 Error switchoverError(SwitchoverFailure failure)
 {
@@ -33,11 +33,12 @@
         return {ErrorKind::NoPrimary, "The primary or the successor was lost or has changed; look at the group and retry.",
                 milliseconds{1000}};
     case SwitchoverFailure::ClockGap:
-        return {ErrorKind::Conflict, "This host stood still during the change; look at the group and retry.", milliseconds{1000}};
+        return {ErrorKind::Conflict, "This host was suspended during the change; look at the group and retry.",
+                milliseconds{1000}};
     case SwitchoverFailure::Cancelled:
         break;
     }
-    return {ErrorKind::Leaving, "The change was called off; nothing has changed. Retry at another time.", milliseconds{1000}};
+    return {ErrorKind::Leaving, "The change was cancelled; nothing has changed. Retry at another time.", milliseconds{1000}};
 }
 
 } // namespace
@@ -57,7 +58,8 @@
     const auto names = namesOf(m_database);
     const auto view = m_monitor.snapshot();
     if (std::ranges::find(names, to) == names.end()) {
-        return Error{ErrorKind::InvalidInput, "'" + to + "' is no upstream of '" + m_database.name + "'; name one that is."};
+        return Error{ErrorKind::InvalidInput,
+                     "'" + to + "' is not an upstream of '" + m_database.name + "'; name one of its upstreams."};
     }
     if (!m_homes.contains(view->primary)) {
         return Error{ErrorKind::Moved, "Only the home of the primary '" + view->primary + "' can change it; ask there.",
@@ -73,16 +75,16 @@
 void GroupObserver::Impl::startSwitchover(const std::string &to)
 {
     const TimePoint now = Clock::now();
-    perform(m_switchover.start(*m_monitor.snapshot(), to, unknownOpen, now));
+    perform(m_switchover.start(*m_monitor.snapshot(), to, assumedOpenTransactions, now));
     tick();
 }
 
-// A primary that the operators take away, or whose term has to be renewed, is
-// changed by its own home without being asked.
+// The home of a primary that the configuration marks as leaving, or whose term has to
+// be renewed, starts the change by itself.
 void GroupObserver::Impl::startOwnChange(const GroupSnapshot &view, TimePoint now)
 {
-    const bool mine = m_homes.contains(view.primary) && view.primaryConfirmed;
-    if (!mine || m_switchover.running() || m_promoter->running() || now < m_nextOwnChangeAt) {
+    const bool isHome = m_homes.contains(view.primary) && view.primaryConfirmed;
+    if (!isHome || m_switchover.running() || m_promoter->running() || now < m_nextOwnChangeAt) {
         return;
     }
     const auto successor = m_promoter->needsRenewal() ? std::optional(view.primary) : successorOfLeaving(view);
