--- a/src/runtime/configuration/applyrunner.cpp
+++ b/src/runtime/configuration/applyrunner.cpp
@@ -1,4 +1,4 @@
-// Between ConfigurationApply's actions and the store client.
+// Performs the actions of ConfigurationApply through the store client.
 
 #include "runtime/configuration/applyrunner.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-// One call's share of the deadline: short enough to try again after a lost answer.
+// Timeout of one call: a part of the deadline, so that a lost answer leaves time for a retry.
 constexpr milliseconds CallTimeout{2000};
 
 ApplyEvent readEvent(std::uint64_t attempt, const tl::expected<VersionedObject, StoreError> &answer)
--- a/src/runtime/configuration/applyrunner.h
+++ b/src/runtime/configuration/applyrunner.h
@@ -1,5 +1,5 @@
-// Carries out one ConfigurationApply against the store: makes the calls, keeps
-// the pauses and the deadline, and turns answers into events.
+// Runs one ConfigurationApply against the store: makes the calls, waits between them, enforces
+// the deadline and turns answers into events.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 
 using ApplyHandler = std::function<void(const ApplyFinished &)>;
 
-// Use it from the io_context's one thread only; it must outlive the run.
+// Must be used from the io_context's single thread and must outlive the run.
 class ApplyRunner
 {
 public:
@@ -26,7 +26,7 @@
     ApplyRunner(const ApplyRunner &) = delete;
     ApplyRunner &operator=(const ApplyRunner &) = delete;
 
-    // Runs the handler exactly once, at the deadline at the latest.
+    // Runs the handler exactly once, no later than the deadline.
     void start(TimePoint deadline, ApplyHandler handler);
 
 private:
@@ -43,7 +43,7 @@
     Timer m_pauseTimer;
     Timer m_deadlineTimer;
     TimePoint m_deadline;
-    // Empty once it has run.
+    // Empty after the handler has run.
     ApplyHandler m_handler;
 };
 
--- a/src/runtime/configuration/catalogtexts.cpp
+++ b/src/runtime/configuration/catalogtexts.cpp
@@ -1,4 +1,4 @@
-// Texts of catalogs, and differences between them.
+// Catalog texts and the differences between them.
 
 #include "runtime/configuration/catalogtexts.h"
 
@@ -13,8 +13,8 @@
 namespace
 {
 
-// Changes of a storm come twice a second and reach every host within one; who is further
-// behind gets the whole. Each text takes up to 250 KB with 1,900 routes.
+// Under load, changes come twice a second and reach every host within a second; a host that is
+// further behind gets the whole text. Each text takes up to 250 KB with 1,900 routes.
 constexpr std::size_t keptTexts = 3;
 
 } // namespace
@@ -77,7 +77,7 @@
     const std::string *base = textOf(push.baseDigest);
     if (push.baseDigest != 0 && base == nullptr) {
         return tl::unexpected(Error{ErrorKind::InvalidInput,
-                                    "The difference is from a text that this host does not hold; ask for the whole.",
+                                    "The difference is based on a text that this host does not hold; request the whole.",
                                     milliseconds{0}});
     }
     return textFrom(base != nullptr ? *base : std::string_view(), push.difference, push.digest);
--- a/src/runtime/configuration/catalogtexts.h
+++ b/src/runtime/configuration/catalogtexts.h
@@ -1,5 +1,5 @@
-// The texts in which a host passes its copy of the catalog on: the present one, and earlier
-// ones that others may still hold, from which they get only the difference.
+// The catalog texts that a host sends to others: the current one, and earlier ones that other
+// hosts may still hold and to which a difference is sent.
 
 #pragma once
 
@@ -17,20 +17,21 @@
 class CatalogTexts
 {
 public:
-    // Takes what is passed on from now on.
+    // Sets the text that is sent from now on.
     void set(std::string text, const CatalogVersion &version, const CatalogRevisions &through);
-    // Notes how far the present text is complete by now.
+    // Sets the revisions up to which the current text is complete.
     void setThrough(const CatalogRevisions &through);
 
     bool isEmpty() const;
-    // 0 while there is none.
+    // 0 while there is no text.
     std::uint64_t digest() const;
-    // The digest of the text before this one, 0 when there is none.
+    // The digest of the previous text; 0 when there is none.
     std::uint64_t digestBefore() const;
-    // For whoever holds the text with that digest; the whole when this host does not.
+    // A push for a host that holds the text with that digest: a difference, or the whole text
+    // when this host does not hold that one.
     hop::CatalogPush pushFor(std::uint64_t heldDigest) const;
-    // The text that a peer sent. InvalidInput when it is damaged, or a difference from a text
-    // that this host does not hold.
+    // Restores the text that a peer sent. Fails with InvalidInput when it is damaged, or is a
+    // difference to a text that this host does not hold.
     tl::expected<std::string, Error> read(const hop::CatalogPush &push) const;
 
 private:
@@ -41,7 +42,7 @@
 
     const std::string *textOf(std::uint64_t digest) const;
 
-    // The present one first.
+    // The current text comes first.
     std::deque<Entry> m_entries;
     CatalogVersion m_version;
     CatalogRevisions m_through;
--- a/src/runtime/configuration/collection.cpp
+++ b/src/runtime/configuration/collection.cpp
@@ -13,21 +13,19 @@
 {
 
 constexpr milliseconds listTimeout{2000};
-// A waiting call counts as one, so long ones are cheap. But a store that takes a call and
-// never answers it, while its connection stays up, is noticed only at the call's end, and a
-// configuration has to be in force 3 s after it was accepted.
+// A waiting call counts as one call, so long waits are cheap. But when a store accepts a call and
+// never answers while the connection stays up, the host detects it only at the end of the call,
+// and a configuration must be in force 3 s after it was accepted.
 constexpr milliseconds changesTimeout{2500};
-// After a change the next call waits this long: when 24 upstreams register one by one,
-// each of 73 hosts would else call 24 times. It delays a change that follows closely on
-// another one, of the 3 s in which a configuration has to be in force.
+// The pause before the next call after a change: without it, 24 upstreams that register one by
+// one cause 24 calls from each of 73 hosts. The pause counts toward the 3 s within which a
+// configuration must be in force.
 constexpr milliseconds changesSpacing{500};
-// Answers that take the link for longer than this are followed by a list.
-//
-// What goes wrong without: a storm of changes to a large object. A waiting call is told each
-// of them whole, also those that have been overtaken: twelve times 250 KB on a link of
-// 2 Mbit/s kept a reader, and its heartbeats, waiting for twelve seconds.
+// Answers that occupy the link for longer than this are followed by a list. A waiting call
+// returns every change whole, including superseded ones: twelve changes of a 250 KB object over a
+// 2 Mbit/s link delayed a reader and its heartbeats by twelve seconds.
 constexpr milliseconds bulkyAnswer{50};
-// Between two attempts while the store does not answer: each is counted.
+// Pauses between attempts while the store does not answer; every attempt counts as a call.
 constexpr milliseconds firstBackoff{100};
 constexpr milliseconds lastBackoff{800};
 
@@ -85,7 +83,7 @@
     }
     m_waits = waits;
     if (m_waits && m_listed && !m_busy) {
-        // It was told by others until now, and may be some changes behind.
+        // The copy came from other hosts until now and may be some changes behind.
         m_listsNext = isBulky();
         callNext();
     }
@@ -111,8 +109,8 @@
     return m_hooks.pauseAfter(m_bytes) >= bulkyAnswer;
 }
 
-// What goes wrong without the addition: a large answer does not arrive within its time, is asked
-// for again, and fills the link for nothing, again and again.
+// The time for a transfer is added because a large answer would otherwise miss its deadline and
+// be requested again and again, which fills the link without any progress.
 TimePoint CollectionFollower::listDeadline() const
 {
     return Clock::now() + listTimeout + 2 * m_hooks.pauseAfter(m_bytes);
@@ -137,7 +135,7 @@
         setReached(true);
         m_listed = true;
         m_bytes = page->bytes;
-        if (take(*page)) {
+        if (applyPage(*page)) {
             pauseAfterChange();
         } else {
             m_listsNext = false;
@@ -146,8 +144,8 @@
     });
 }
 
-// False when it brought nothing new.
-bool CollectionFollower::take(const CollectionPage &page)
+// Returns false when the page holds nothing new.
+bool CollectionFollower::applyPage(const CollectionPage &page)
 {
     if (page.revision <= m_revision) {
         noteOlder(page.revision);
@@ -164,11 +162,11 @@
     const bool differs = isFirst || isRestored || objects != m_objects;
     m_revision = page.revision;
     if (isRestored) {
-        // Others have to hear of the restore, also when nothing is left.
+        // Other hosts must be informed of the restore, even when the collection is empty.
         noteContent(StoreRevision{epoch, 0}.ordered());
     }
     if (std::ranges::any_of(m_objects, [&objects](const auto &known) { return !objects.contains(known.first); })) {
-        // A list does not say when an object was removed.
+        // A list does not contain the revision of a removal.
         noteContent(m_revision);
     }
     if (differs) {
@@ -178,7 +176,7 @@
     return differs && !isFirst;
 }
 
-// Once for each state that is known here: a store that lists it again and again is told of once.
+// Reports each known state once, however often the store lists an older one.
 void CollectionFollower::noteOlder(std::uint64_t listed)
 {
     if (listed < m_revision && m_olderNotedAt != m_revision) {
@@ -221,8 +219,8 @@
                      });
 }
 
-// The store answers, so it counts as reached. Its lists do not show that the next wait is
-// taken, so they come less and less often until one is.
+// The store answers, so it counts as reached. A successful list does not show that the next wait
+// is accepted, so lists become less frequent until one is.
 void CollectionFollower::listAgain()
 {
     m_listed = false;
@@ -231,7 +229,7 @@
     callAfter(pause);
 }
 
-// Waits for the next change after the pause, or leaves it to other hosts to tell.
+// Waits for the next change after the pause, unless other hosts provide the changes.
 void CollectionFollower::goOn(milliseconds pause)
 {
     m_busy = false;
@@ -269,8 +267,8 @@
     }
 }
 
-// Another host's copy may have been taken over while the call was out: changes that end
-// before it are known, and later ones hold whole objects.
+// Another host's copy may have been adopted during the call: changes that end before it are
+// already known, and later ones hold whole objects.
 void CollectionFollower::apply(const CollectionChanges &changes)
 {
     if (changes.revision <= m_revision) {
@@ -280,7 +278,7 @@
     for (const CollectionChange &change : changes.changes) {
         if (change.removed) {
             m_objects.erase(change.object.name);
-            // The revision of a removal is told nowhere but with the answer.
+            // Only this answer contains the revision of a removal.
             noteContent(changes.revision);
         } else {
             m_objects[change.object.name] = change.object.value;
@@ -295,7 +293,7 @@
 void CollectionFollower::retry()
 {
     setReached(false);
-    // What came in a row since then may be more than the link carries in the time of a call.
+    // The changes since then may be more than the link carries within the time of a call.
     m_listsNext = isBulky();
     const milliseconds pause = m_backoff;
     m_backoff = std::min(m_backoff * 2, lastBackoff);
--- a/src/runtime/configuration/collection.h
+++ b/src/runtime/configuration/collection.h
@@ -1,5 +1,5 @@
-// Collections of named objects that others keep in a store, and how to follow one:
-// list it once, then wait for changes from there on.
+// Collections of named objects in a store, and a follower that lists a collection once and then
+// waits for changes.
 
 #pragma once
 
@@ -22,15 +22,15 @@
 struct CollectedObject {
     std::string name;
     nlohmann::json value;
-    // The store's revision of its last change.
+    // The store's revision of the object's last change.
     std::uint64_t revision = 0;
 };
 
-// A whole collection as it stood at one revision of the store.
+// A whole collection at one revision of the store.
 struct CollectionPage {
     std::vector<CollectedObject> objects;
     std::uint64_t revision = 0;
-    // What the answer took of the link.
+    // The size of the answer on the link.
     std::size_t bytes = 0;
 };
 
@@ -39,44 +39,45 @@
     bool removed = false;
 };
 
-// Everything that changed up to `revision`, in order; empty when nothing did.
+// All changes up to `revision`, in order; empty when nothing changed.
 struct CollectionChanges {
     std::vector<CollectionChange> changes;
     std::uint64_t revision = 0;
-    // What the answer took of the link.
+    // The size of the answer on the link.
     std::size_t bytes = 0;
 };
 
 enum class CollectionFailure {
-    // The store has forgotten what changed since then: list it anew.
+    // The store no longer has the changes since that revision; the collection must be listed
+    // again.
     HistoryGone,
-    // No answer, or a refusal for now.
+    // No answer, or a temporary refusal.
     Unavailable,
 };
 
-// Access to one collection; used from one thread only. Every handler runs exactly
-// once, at the deadline at the latest.
+// Access to one collection; used from one thread only. Every handler runs exactly once, no later
+// than the deadline.
 struct CollectionSource {
     std::function<void(TimePoint deadline, std::function<void(tl::expected<CollectionPage, CollectionFailure>)>)> list;
-    // Answers as soon as something changed, at the deadline at the latest.
+    // Answers as soon as something changed, no later than the deadline.
     std::function<void(std::uint64_t since, TimePoint deadline,
                        std::function<void(tl::expected<CollectionChanges, CollectionFailure>)>)>
         changes;
 };
 
 struct CollectionFollowerHooks {
-    // What is there now; called with every change, and after each new list.
+    // Receives all current objects; called on every change and after each new list.
     std::function<void(const std::map<std::string, nlohmann::json> &objects)> changed;
-    // The store does not answer any more, or does again.
+    // Called when the store stops answering, and when it answers again.
     std::function<void(bool reached)> reachability;
-    // The store listed an older state than is known here, and it was not taken.
+    // Called when the store listed an older state than the known one; the list was discarded.
     std::function<void(std::uint64_t listed, std::uint64_t known)> olderListed = [](std::uint64_t, std::uint64_t) {};
-    // How long an answer of that size should keep the next call waiting at least.
+    // The minimum pause before the next call after an answer of that size.
     std::function<milliseconds(std::size_t bytes)> pauseAfter = [](std::size_t) { return milliseconds{0}; };
 };
 
-// Keeps a copy of one collection current, by waiting for the store's changes or by what
-// other hosts tell. Used from the thread of its io_context.
+// Keeps a copy of one collection current, from the store's changes or from the copies of other
+// hosts. Used from the thread of its io_context.
 class CollectionFollower
 {
 public:
@@ -84,19 +85,20 @@
     CollectionFollower(const CollectionFollower &) = delete;
     CollectionFollower &operator=(const CollectionFollower &) = delete;
 
-    // Lists the collection, then waits for changes while it is told to.
+    // Lists the collection, then waits for changes while setWaiting() is on.
     void start();
     void stop();
-    // Whether this host waits for the store's changes itself.
+    // Sets whether this host itself waits for the store's changes.
     void setWaiting(bool waits);
-    // Takes over another host's copy, which is complete up to `through` and came as `bytes`,
-    // unless this one is as new. True when it was taken; `changed` is not called.
+    // Replaces the copy by that of another host, which is complete up to `through` and took
+    // `bytes` on the link, unless this one is as new. Returns true when it was replaced; does not
+    // call `changed`.
     bool adopt(std::map<std::string, nlohmann::json> objects, std::uint64_t contentRevision, std::uint64_t through,
                std::size_t bytes);
 
-    // False until it has been listed once, and while the store does not answer.
+    // False until the collection has been listed once, and while the store does not answer.
     bool isReached() const;
-    // True once the store, or another host, has told what is there.
+    // True once the store or another host has provided the objects.
     bool isKnown() const;
     const std::map<std::string, nlohmann::json> &objects() const;
     // The revision of the last change that the copy holds.
@@ -106,7 +108,7 @@
 
 private:
     void list();
-    bool take(const CollectionPage &page);
+    bool applyPage(const CollectionPage &page);
     void noteOlder(std::uint64_t listed);
     void pauseAfterChange();
     bool isBulky() const;
@@ -125,23 +127,24 @@
     CollectionFollowerHooks m_hooks;
     Timer m_timer;
     std::map<std::string, nlohmann::json> m_objects;
-    // Everything up to this revision is in m_objects.
+    // m_objects holds everything up to this revision.
     std::uint64_t m_revision = 0;
     // Invariant: m_contentRevision <= m_revision.
     std::uint64_t m_contentRevision = 0;
-    // The state that the last report of an older list was about.
+    // The known revision for which an older list was last reported.
     std::uint64_t m_olderNotedAt = 0;
     bool m_waits = false;
-    // True while changes are looked up by listing: what came in a row then comes once.
+    // True while changes are read by listing, so that a series of changes to an object is
+    // transferred once.
     bool m_listsNext = false;
-    // True while a call, or the pause before one, is under way.
+    // True while a call, or the pause before it, is in progress.
     bool m_busy = false;
-    // About what the collection takes of the link.
+    // The approximate size of the collection on the link.
     std::size_t m_bytes = 0;
     bool m_listed = false;
     bool m_reached = false;
     milliseconds m_backoff;
-    // Before the next list after a wait that the store refused for want of history.
+    // The pause before the next list after the store refused a wait because its history is gone.
     milliseconds m_listBackoff;
     bool m_stopped = false;
 };
--- a/src/runtime/configuration/configurationkeeper.cpp
+++ b/src/runtime/configuration/configurationkeeper.cpp
@@ -19,12 +19,12 @@
 // A waiting watch counts as one call, so long ones are cheap.
 constexpr milliseconds watchTimeout{30000};
 constexpr milliseconds pauseAfterFailure{500};
-// Hosts that watch nothing look whether they have become the watcher.
+// How often hosts that don't watch check whether they have become the watcher.
 constexpr milliseconds watcherCheck{500};
 constexpr milliseconds pullPatience{1000};
 constexpr milliseconds loneHostPatience{2000};
-// Each host tells this many others of a new version: 510 hosts are reached in
-// three rounds, and nobody sends the file itself more than a few times.
+// Each host sends a new version to this many others: 510 hosts are reached in three rounds, and
+// no host sends the file more than a few times.
 constexpr std::size_t offersPerHost = 8;
 
 } // namespace
@@ -85,7 +85,7 @@
 
 void ConfigurationKeeper::watch()
 {
-    // Short while nothing is in force yet: the timer that looks again runs between watches.
+    // Short until a configuration is in force: the timer that checks again runs between watches.
     const milliseconds patience = m_inForce || m_state.version() == 0 ? watchTimeout : pauseAfterFailure;
     m_store.watch(std::string(ConfigurationKey), std::max(m_state.version(), m_seenInStore), Clock::now() + patience,
                   [this](const tl::expected<VersionedObject, StoreError> &answer) {
@@ -114,8 +114,8 @@
     }
     auto configuration = parseConfigurationObject(value, version);
     if (!configuration) {
-        // Only egrettidectl writes the object, and it checks first: this is a file
-        // of another release or a damaged one. The last good one stays in force.
+        // Only egrettidectl writes the object, and it validates first, so this file is from
+        // another release or damaged. The last valid one stays in force.
         log::error("configuration_refused",
                    {{"version", version}, {"source", source}, {"fault", configuration.error().front().message}});
         return;
@@ -133,11 +133,9 @@
     }
 }
 
-// The first configuration of a fresh host.
-//
-// What goes wrong without it: a host is replaced, reads an old value from a store
-// that lags, becomes home of an upstream that is leaving, and lets new work in.
-// One would notice statements on an upstream that was to be empty. A peer that has
+// The first configuration of a new host. A host that is replaced may read an old value from a
+// store that lags, become home of an upstream that is leaving, and admit new work to it. A peer's
+// report contains the highest known version, so an old value is recognized.
 // been heard tells the highest version known, so an old value is seen as such.
 void ConfigurationKeeper::putInForce()
 {
--- a/src/runtime/configuration/configurationkeeper.h
+++ b/src/runtime/configuration/configurationkeeper.h
@@ -1,6 +1,6 @@
-// Keeps this host's configuration current: from the platform's store where this
-// host is its zone's watcher, and from other hosts everywhere else and whenever
-// the store is out. Store calls therefore grow with zones and not with hosts.
+// Keeps this host's configuration current: from the platform's store when this host is its zone's
+// watcher, and from other hosts otherwise or when the store is unavailable. The number of store
+// calls therefore grows with zones and not with hosts.
 
 #pragma once
 
@@ -37,8 +37,8 @@
     void onPush(const std::string &from, const hop::ConfigPush &push) override;
     void heardOf(const std::string &host, const CatalogVersion &version) override;
 
-    // The configuration in force; null while this host has none, and right after a
-    // start also while it cannot know whether what it read is the newest.
+    // The configuration in force; null while this host has none, and after a start while it can't
+    // determine whether the one it read is the newest.
     std::shared_ptr<const Configuration> current() const override;
 
 private:
@@ -54,19 +54,18 @@
     ConfigurationKeeperHooks m_hooks;
     Timer m_timer;
     ConfigurationState m_state;
-    // When this host puts in force what it holds even though no peer has told what
-    // is newest: it may be the only one, or cut off from all others.
+    // When this host puts the configuration that it holds in force even though no peer has
+    // reported the newest version: it may be the only host, or cut off from all others.
     TimePoint m_trustedFrom = TimePoint::max();
     bool m_peerHeard = false;
-    // False until this host has once put a configuration in force.
+    // False until this host has put a configuration in force.
     bool m_inForce = false;
-    // The newest version seen in the store, be it one that was refused: a watch
-    // from the version in force would return a damaged object over and over.
+    // The newest version seen in the store, including refused ones: a watch from the version in
+    // force would return a damaged object repeatedly.
     std::uint64_t m_seenInStore = 0;
-    // The store's object of the version held, to be passed on as it is.
+    // The stored object of the version held, forwarded unchanged.
     std::string m_object;
-    // When the last pull was asked for; another is not asked before its answer
-    // had a fair chance.
+    // When the last pull was sent; the next one waits until an answer to it could have arrived.
     TimePoint m_pullBefore;
     bool m_stopped = false;
 };
--- a/src/runtime/configuration/configurationsource.h
+++ b/src/runtime/configuration/configurationsource.h
@@ -1,4 +1,4 @@
-// Where a host's configuration comes from, as the rest of the daemon knows it.
+// The interface of a configuration source to the rest of the daemon.
 
 #pragma once
 
@@ -17,28 +17,29 @@
 
 // The hosts of this host's availability zone.
 struct ZoneHosts {
-    // False until this host has met its zone.
+    // False until this host has discovered its zone.
     bool known = false;
-    // Those that may read the store for the others, this one included, first choice first.
+    // The hosts that may read the store for the others, this one included, in order of
+    // preference.
     std::vector<std::string> candidates;
-    // All but this one.
+    // All hosts of the zone except this one.
     std::vector<std::string> mates;
 };
 
 struct ConfigurationKeeperHooks {
-    // A newer configuration came into force here.
+    // A newer configuration came into force.
     std::function<void(std::shared_ptr<const Configuration>)> accepted;
     // Sends to one host by name.
     std::function<void(const std::string &host, hop::HopMessage)> send;
-    // Some live hosts other than this one, in random order, at most `count`.
+    // Up to `count` live hosts other than this one, in random order.
     std::function<std::vector<std::string>(std::size_t count)> someHosts;
     // True when this host holds its zone's watch on the store.
     std::function<bool()> isWatcher;
     std::function<ZoneHosts()> zone{};
-    // The store came back from an older copy; what this host wrote there may be gone.
+    // The store was restored from an older copy; what this host wrote there may be lost.
     std::function<void()> storeRestored = [] {};
-    // Not hooks: how the hosts of a zone share the reading of the store, and the bytes a
-    // second that bulk may take of this host's link, 0 for no bound.
+    // Not hooks: how the hosts of a zone share the reading of the store, and the rate in bytes
+    // per second that bulk transfers may use of this host's link, 0 for no limit.
     ReaderDutyOptions reader{};
     std::uint64_t bulkBytesPerSecond = 0;
 };
@@ -52,7 +53,8 @@
     virtual void start() = 0;
     virtual void stop() = 0;
 
-    // Messages of other hosts; a source leaves out those that another kind of source sends.
+    // Messages of other hosts; a source does not override those that another kind of source
+    // sends.
     virtual void onOffer(const std::string & /*from*/, const hop::ConfigOffer & /*offer*/)
     {
     }
@@ -71,17 +73,17 @@
     virtual void onCatalogPush(const std::string & /*from*/, const hop::CatalogPush & /*push*/)
     {
     }
-    // A heartbeat told that `host` announces `version`; see announced().
+    // A heartbeat reported that `host` announces `version`; see announced().
     virtual void heardOf(const std::string &host, const CatalogVersion &version) = 0;
 
     // The configuration in force; null while there is none.
     virtual std::shared_ptr<const Configuration> current() const = 0;
-    // The epoch of the store that this host's copy is from; 0 for a store without epochs.
+    // The epoch of the store from which this host's copy comes; 0 for a store without epochs.
     virtual std::uint64_t storeEpoch() const
     {
         return 0;
     }
-    // What this host's heartbeats tell of it; rises with every change.
+    // The version that this host's heartbeats announce; rises with every change.
     virtual CatalogVersion announced() const
     {
         return {current() ? current()->version : 0, 0};
--- a/src/runtime/configuration/discoveredconfiguration.cpp
+++ b/src/runtime/configuration/discoveredconfiguration.cpp
@@ -1,4 +1,4 @@
-// Puts a configuration together from what lies in a store.
+// Composes the configuration from the store's collections.
 
 #include "runtime/configuration/discoveredconfiguration.h"
 
@@ -13,9 +13,9 @@
 namespace
 {
 
-// A registration lapses while its store is away although its upstream is well, and is
-// back within two seconds of the store's return; half a second more for the way here.
-constexpr milliseconds lapsePatience{2500};
+// A registration lapses while its store is unavailable although its upstream is healthy, and is
+// back within two seconds of the store's return; half a second is added for the way to this host.
+constexpr milliseconds lapseDelay{2500};
 constexpr const char *storeSource = "store";
 
 std::uint64_t epochOf(std::uint64_t revision)
@@ -24,7 +24,7 @@
 }
 
 // Whether `known` was written after `listed`, by the same process or by a later one.
-bool isNewerWord(const UpstreamSpec &known, const UpstreamSpec &listed)
+bool isNewerState(const UpstreamSpec &known, const UpstreamSpec &listed)
 {
     if (known.startedAt != listed.startedAt) {
         return known.startedAt && listed.startedAt && *known.startedAt > *listed.startedAt;
@@ -38,8 +38,8 @@
                                                  ConfigurationKeeperHooks hooks)
     : m_parts(std::move(parts))
     , m_hooks(std::move(hooks))
-    , m_settleTimer(control)
-    , m_lookTimer(control)
+    , m_lapseTimer(control)
+    , m_roleTimer(control)
     , m_pushTimer(control)
     , m_duty(std::move(self), m_hooks.reader)
     , m_intentFollower(control, m_parts.intent, followerHooks("store_intent", [this] { onIntentChanged(); }))
@@ -56,7 +56,7 @@
     hooks.olderListed = [collection](std::uint64_t listed, std::uint64_t known) {
         log::warning("store_list_older", {{"collection", std::string(collection)}, {"listed", listed}, {"known", known}});
     };
-    hooks.pauseAfter = [this](std::size_t bytes) { return timeOfBulk(bytes); };
+    hooks.pauseAfter = [this](std::size_t bytes) { return transferTime(bytes); };
     return hooks;
 }
 
@@ -64,14 +64,14 @@
 {
     m_intentFollower.start();
     m_registrationFollower.start();
-    look();
+    checkReaderRole();
 }
 
 void DiscoveredConfiguration::stop()
 {
     m_stopped = true;
-    m_settleTimer.cancel();
-    m_lookTimer.cancel();
+    m_lapseTimer.cancel();
+    m_roleTimer.cancel();
     m_pushTimer.cancel();
     m_intentFollower.stop();
     m_registrationFollower.stop();
@@ -86,11 +86,12 @@
 {
     if (auto accepted = acceptIntent(m_intentFollower.objects(), storeSource)) {
         putInForce(std::move(*accepted));
-        tellZone();
+        informZone();
     }
 }
 
-// The configuration that it gives; nothing when it is damaged, or older than the one in force.
+// Returns the resulting configuration; empty when the intent is damaged, or older than the one in
+// force.
 std::optional<Configuration> DiscoveredConfiguration::acceptIntent(const NamedObjects &objects, const std::string &source)
 {
     auto configuration = m_parts.translate(objects, m_upstreams);
@@ -111,46 +112,46 @@
 void DiscoveredConfiguration::onRegistrationsChanged()
 {
     noteEpoch(storeSource);
-    takeRegistrations(m_registrationFollower.objects());
+    applyRegistrations(m_registrationFollower.objects());
     rebuild();
-    tellZone();
+    informZone();
 }
 
-// What goes wrong without the delay: the store was away, some upstreams could not
-// renew their registrations, and with its return they are gone for a moment. Their
-// connections would be closed and their transactions lost for nothing.
-void DiscoveredConfiguration::takeRegistrations(const NamedObjects &registrations)
+// Missing registrations lapse after a delay. After a store outage, upstreams that could not renew
+// their registrations are missing for a moment; without the delay their connections would be
+// closed and their transactions lost.
+void DiscoveredConfiguration::applyRegistrations(const NamedObjects &registrations)
 {
-    const TimePoint lapsesAt = Clock::now() + lapsePatience;
+    const TimePoint lapsesAt = Clock::now() + lapseDelay;
     RegisteredUpstreams next = parse(registrations);
     std::erase_if(m_lapsing, [&next](const auto &entry) { return next.contains(entry.first); });
-    m_keepsNewerWords = Clock::now() < m_rewrittenBy && keepNewerWords(next);
+    m_keepsNewerStates = Clock::now() < m_rewriteDeadline && keepNewerStates(next);
     for (const auto &[name, upstream] : m_upstreams) {
         if (next.emplace(name, upstream).second) {
             m_lapsing.emplace(name, lapsesAt);
         }
     }
     m_upstreams = std::move(next);
-    armSettling();
+    armLapseTimer();
 }
 
-// Call it when another copy of the registrations has come.
+// Must be called after each new copy of the registrations.
 void DiscoveredConfiguration::noteEpoch(const std::string &source)
 {
     const std::uint64_t epoch = epochOf(m_registrationFollower.through());
     if (!m_epoch) {
         m_epoch = epoch;
-        m_epochHeardAt.reset();
+        m_newerEpochSince.reset();
     }
     if (epoch <= *m_epoch) {
         return;
     }
     const TimePoint now = Clock::now();
-    const auto behind = std::chrono::duration_cast<milliseconds>(now - m_epochHeardAt.value_or(now));
+    const auto behind = std::chrono::duration_cast<milliseconds>(now - m_newerEpochSince.value_or(now));
     log::info("store_restored", {{"epoch", epoch}, {"known", *m_epoch}, {"source", source}, {"behind_ms", behind.count()}});
     m_epoch = epoch;
-    m_epochHeardAt.reset();
-    m_rewrittenBy = now + lapsePatience;
+    m_newerEpochSince.reset();
+    m_rewriteDeadline = now + lapseDelay;
     m_hooks.storeRestored();
 }
 
@@ -159,14 +160,14 @@
     return m_epoch.value_or(0);
 }
 
-// What goes wrong without: an upstream that leaves is ready again in a restored store, and
-// gets work until it has written itself there anew. True when something was kept.
-bool DiscoveredConfiguration::keepNewerWords(RegisteredUpstreams &next) const
+// Without this, an upstream that is leaving appears ready again in a restored store, and gets
+// work until it has registered there anew. Returns true when a newer state was kept.
+bool DiscoveredConfiguration::keepNewerStates(RegisteredUpstreams &next) const
 {
     bool kept = false;
     for (auto &[name, listed] : next) {
         const auto known = m_upstreams.find(name);
-        if (known != m_upstreams.end() && isNewerWord(known->second.upstream, listed.upstream)) {
+        if (known != m_upstreams.end() && isNewerState(known->second.upstream, listed.upstream)) {
             listed = known->second;
             kept = true;
         }
@@ -174,9 +175,9 @@
     return kept;
 }
 
-// What goes wrong otherwise: another writer leaves an entry among the registrations. With
-// an unknown state it would count as ready, without an address it would be an upstream
-// that nothing reaches, and a type that nobody expects would end the process.
+// Refuses invalid registrations, which another writer may leave there: with an unknown state an
+// entry would count as ready, without an address it would be an unreachable upstream, and an
+// unexpected type would end the process.
 RegisteredUpstreams DiscoveredConfiguration::parse(const NamedObjects &registrations)
 {
     RegisteredUpstreams upstreams;
@@ -193,7 +194,8 @@
     return upstreams;
 }
 
-// One line for each fault: the entry may be told again with every change of another one.
+// Logs once per fault, because an unchanged entry is received again with every change of another
+// one.
 void DiscoveredConfiguration::noteRefused(const std::string &name, const Error &fault)
 {
     std::string &known = m_refused[name];
@@ -210,25 +212,25 @@
     return m_refusals;
 }
 
-void DiscoveredConfiguration::armSettling()
+void DiscoveredConfiguration::armLapseTimer()
 {
-    if (m_lapsing.empty() && !m_keepsNewerWords) {
+    if (m_lapsing.empty() && !m_keepsNewerStates) {
         return;
     }
-    TimePoint next = m_keepsNewerWords ? m_rewrittenBy : TimePoint::max();
+    TimePoint next = m_keepsNewerStates ? m_rewriteDeadline : TimePoint::max();
     for (const auto &[name, lapsesAt] : m_lapsing) {
         next = std::min(next, lapsesAt);
     }
-    m_settleTimer.expires_at(next);
-    m_settleTimer.async_wait([this](const boost::system::error_code &cancelled) {
+    m_lapseTimer.expires_at(next);
+    m_lapseTimer.async_wait([this](const boost::system::error_code &cancelled) {
         if (!cancelled && !m_stopped) {
-            settleRegistrations();
+            removeLapsed();
         }
     });
 }
 
-// Takes the store's word for what it did not say again in time.
-void DiscoveredConfiguration::settleRegistrations()
+// Applies the store's state of registrations that were not renewed in time.
+void DiscoveredConfiguration::removeLapsed()
 {
     const TimePoint now = Clock::now();
     std::erase_if(m_lapsing, [this, now](const auto &entry) {
@@ -239,10 +241,10 @@
         }
         return lapsed;
     });
-    if (m_keepsNewerWords && now >= m_rewrittenBy) {
-        takeRegistrations(m_registrationFollower.objects());
+    if (m_keepsNewerStates && now >= m_rewriteDeadline) {
+        applyRegistrations(m_registrationFollower.objects());
     } else {
-        armSettling();
+        armLapseTimer();
     }
     rebuild();
 }
--- a/src/runtime/configuration/discoveredconfiguration.h
+++ b/src/runtime/configuration/discoveredconfiguration.h
@@ -1,8 +1,8 @@
-// A configuration that is put together from two collections of a store: what the
-// operators want, and the upstreams as they register themselves. A few hosts of each zone
-// follow both and tell the others what has changed; heartbeats tell everybody how new a
-// copy the others hold, and who is behind asks. So the calls to the store grow with zones
-// and changes, and not with hosts.
+// A configuration that is composed of two collections of a store: the operators' intent, and the
+// registrations of upstreams. A few hosts of each zone (the store readers) follow both and send
+// changes to the others; heartbeats announce the version of each host's copy, and a host that is
+// behind requests a newer one. The number of store calls therefore grows with zones and changes,
+// and not with hosts.
 
 #pragma once
 
@@ -36,19 +36,19 @@
 // An upstream as it registered itself.
 struct RegisteredUpstream {
     std::string database;
-    // All but `connections`, which the operators' intent holds.
+    // Everything except `connections`, which is part of the operators' intent.
     UpstreamSpec upstream;
 };
 
-// By the name of the registration.
+// Keyed by the name of the registration.
 using RegisteredUpstreams = std::map<std::string, RegisteredUpstream>;
 
-// Reads one registration; an error when another writer left it there, or it is damaged.
+// Parses one registration; fails when another writer left it there or it is damaged.
 using ParseRegistrationHook =
     std::function<tl::expected<RegisteredUpstream, Error>(const std::string &name, const nlohmann::json &value)>;
 
-// Makes a configuration of what lies in the store; an error when the intent is damaged.
-// The version has to be that of what the operators wrote.
+// Makes a configuration from the stored objects; fails when the intent is damaged. The version
+// must be that of the operators' intent.
 using TranslateHook =
     std::function<tl::expected<Configuration, Error>(const NamedObjects &intent, const RegisteredUpstreams &upstreams)>;
 
@@ -78,7 +78,7 @@
     CatalogVersion announced() const override;
     std::uint64_t storeEpoch() const override;
 
-    // Registrations that were refused since the start, each counted once for each fault.
+    // Registrations that were refused since the start, each counted once per fault.
     std::uint64_t refusedRegistrations() const;
 
 private:
@@ -86,84 +86,85 @@
     void onIntentChanged();
     std::optional<Configuration> acceptIntent(const NamedObjects &objects, const std::string &source);
     void onRegistrationsChanged();
-    void takeRegistrations(const NamedObjects &registrations);
+    void applyRegistrations(const NamedObjects &registrations);
     RegisteredUpstreams parse(const NamedObjects &registrations);
     void noteRefused(const std::string &name, const Error &fault);
     void noteEpoch(const std::string &source);
-    bool keepNewerWords(RegisteredUpstreams &next) const;
-    void settleRegistrations();
-    void armSettling();
+    bool keepNewerStates(RegisteredUpstreams &next) const;
+    void removeLapsed();
+    void armLapseTimer();
     void rebuild();
     void putInForce(Configuration next);
 
-    // Reading for the zone, and telling others.
-    void look();
-    void lookAgain();
+    // Reading for the zone and informing other hosts.
+    void checkReaderRole();
+    void scheduleRoleCheck();
     void onReachability(std::string_view collection, bool reached);
     CatalogVersion version() const;
     CatalogRevisions through() const;
-    bool lacks(const CatalogVersion &told) const;
+    bool lacks(const CatalogVersion &reported) const;
     std::string catalogText() const;
-    void tellZone();
+    void informZone();
     void offerToSome();
-    void hearOf(const std::string &host, const CatalogVersion &told);
+    void onVersionReported(const std::string &host, const CatalogVersion &reported);
     void pullFrom(const std::string &host, std::uint64_t heldDigest);
     void servePulls();
-    milliseconds timeOfBulk(std::size_t bytes) const;
+    milliseconds transferTime(std::size_t bytes) const;
     void adopt(const std::string &from, const hop::CatalogPush &push, std::string text);
 
     DiscoveryParts m_parts;
     ConfigurationKeeperHooks m_hooks;
-    Timer m_settleTimer;
-    Timer m_lookTimer;
+    Timer m_lapseTimer;
+    Timer m_roleTimer;
     Timer m_pushTimer;
     ReaderDuty m_duty;
-    // Whether this host followed the store when it last looked.
-    bool m_reads = false;
+    // Whether this host followed the store at the last check.
+    bool m_isReader = false;
     CatalogTexts m_texts;
-    // Who has asked for the catalog, and the digest of what each of them holds.
+    // Hosts that requested the catalog, each with the digest of the text that it holds.
     std::deque<std::pair<std::string, std::uint64_t>> m_pulls;
-    // True while the link is left to others after a push.
+    // True during the pause after a push, which leaves the link to other traffic.
     bool m_pausesPushes = false;
-    // The host of this zone that reads first; empty while none is known.
+    // The host of this zone that is preferred as store reader; empty while none is known.
     std::string m_zoneReader;
-    // Differences of peers that could not be used, since the start.
+    // Differences from peers that could not be applied, since the start.
     std::uint64_t m_refusedPushes = 0;
-    // The newest intent that was accepted, by the operators' version. The store may hold an
-    // older one after a restore, until operators have written again.
+    // The newest accepted intent, by the operators' version. After a restore the store may hold
+    // an older one until operators write again.
     NamedObjects m_intent;
-    // Nothing until one was accepted.
+    // Empty until an intent was accepted.
     std::optional<std::uint64_t> m_intentVersion;
-    // What the registrations say that can be read, and those that lapse.
+    // The valid registrations, including those that lapse.
     RegisteredUpstreams m_upstreams;
-    // Registrations that are gone from the store, or damaged there, and still count until
-    // then. Invariant: each is in m_upstreams.
+    // When registrations that are missing from the store, or damaged there, stop counting.
+    // Invariant: each is in m_upstreams.
     std::map<std::string, TimePoint> m_lapsing;
-    // The store's epoch that the registrations are from; nothing until there was a copy.
+    // The store's epoch of the registrations; empty until there was a copy.
     std::optional<std::uint64_t> m_epoch;
-    // Since when this host has heard of a later one.
-    std::optional<TimePoint> m_epochHeardAt;
-    // Until then a restored store may hold older words of upstreams than were heard here.
-    TimePoint m_rewrittenBy;
-    // True while an older word of the store does not count yet.
-    bool m_keepsNewerWords = false;
-    // What was last said of each registration that can't be used.
+    // When this host first received a later epoch.
+    std::optional<TimePoint> m_newerEpochSince;
+    // Until then a restored store may hold older states of upstreams than this host has received.
+    TimePoint m_rewriteDeadline;
+    // True while an older state in the store is ignored.
+    bool m_keepsNewerStates = false;
+    // The last reported fault of each refused registration.
     std::map<std::string, std::string> m_refused;
     std::uint64_t m_refusals = 0;
     UpstreamSuccession m_succession;
     std::shared_ptr<const Configuration> m_current;
-    // Who told the operators' intent as it stands here: the store, or a host by name.
+    // The source of the current intent: the store, or a host by name.
     std::string m_intentSource;
-    // When a peer may be asked again.
+    // The earliest time of the next request to a peer.
     TimePoint m_pullBefore;
-    // Since when this host has known of something newer than it has.
+    // Since when this host has known of a newer copy than its own.
     std::optional<TimePoint> m_behindSince;
-    // False until this host has heard of a copy that holds no more than its own: a process that
-    // has just started asks at once, since the store may hold less than others know.
+    // False until this host has received the version of a copy that is no newer than its own: a
+    // process that has just started requests at once, since the store may hold less than other
+    // hosts.
     bool m_hasCaughtUp = false;
-    // The newest copy that was heard of, and a host that holds it.
+    // The newest known version, and a host that holds it.
     CatalogVersion m_newest;
-    std::string m_newestAt;
+    std::string m_newestHolder;
     bool m_stopped = false;
     CollectionFollower m_intentFollower;
     CollectionFollower m_registrationFollower;
--- a/src/runtime/configuration/discoveredsharing.cpp
+++ b/src/runtime/configuration/discoveredsharing.cpp
@@ -1,4 +1,4 @@
-// How hosts share what one of them has read in the store.
+// How hosts share what a store reader has read.
 
 #include "runtime/configuration/discoveredconfiguration.h"
 
@@ -15,24 +15,23 @@
 
 using nlohmann::json;
 
-// Between two requests to peers for what this host lacks.
+// Minimum time between two requests to peers for a newer copy.
 constexpr milliseconds pullSpacing{1000};
-// The store tells its readers of a change within milliseconds of each other, and a zone's
-// reader tells its zone at once. Who knows of something newer for this long has been left out.
-//
-// What goes wrong without: a storm of changes to a large configuration. News from other
-// zones overtake those of the own reader; everybody asks there for the whole, which fills
-// the links, and hosts take each other for dead.
-constexpr milliseconds newsPatience{700};
-// How often a host looks whether it has to read the store. A reader that dies is noticed
-// by membership after about a second; this comes on top.
-constexpr milliseconds lookInterval{300};
-// A difference up to this size goes to all hosts of the zone at once; of a larger one they
-// are told, and ask when their last one has come: so no link carries two of them, and none
-// carries one that has been overtaken. The change of one route among 1,540 takes 0.1 KB.
-constexpr std::size_t largestUnasked = std::size_t{4} * 1024;
-// Each host tells this many others, of any zone, of a newer copy: who has lost its zone's
-// readers hears of it ahead of the heartbeats.
+// The store informs its readers of a change within milliseconds of each other, and a zone's
+// reader informs its zone at once, so a host that is behind for this long was left out. Without
+// the delay, reports from other zones overtake those of the own reader during frequent changes to
+// a large configuration; all hosts then request the whole there, which fills the links, and hosts
+// suspect each other of having failed.
+constexpr milliseconds zoneUpdateDelay{700};
+// How often a host checks whether it has to read the store. Membership detects a failed reader
+// after about a second; this comes on top.
+constexpr milliseconds roleCheckInterval{300};
+// A difference up to this size is sent to all hosts of the zone at once. A larger one is only
+// announced, and a host requests it when its previous one has arrived, so no link carries two of
+// them or a superseded one. The change of one route among 1,540 takes 0.1 KB.
+constexpr std::size_t maxUnrequestedBytes = std::size_t{4} * 1024;
+// Each host announces a newer copy to this many others, of any zone, so that a host which has
+// lost its zone's readers is informed before the heartbeats.
 constexpr std::size_t offersPerHost = 2;
 
 constexpr const char *intentPart = "intent";
@@ -46,9 +45,9 @@
 
 } // namespace
 
-// Who reads.
+// Reading the store.
 
-void DiscoveredConfiguration::look()
+void DiscoveredConfiguration::checkReaderRole()
 {
     if (m_stopped) {
         return;
@@ -60,29 +59,30 @@
         m_duty.onCandidates(std::move(zone.candidates));
     }
     m_duty.onReach(m_intentFollower.isReached() && m_registrationFollower.isReached());
-    if (m_duty.reads(now) != m_reads) {
-        m_reads = !m_reads;
-        log::info("store_reader", {{"reads", m_reads}});
+    if (m_duty.reads(now) != m_isReader) {
+        m_isReader = !m_isReader;
+        log::info("store_reader", {{"reads", m_isReader}});
         m_behindSince.reset();
-        m_intentFollower.setWaiting(m_reads);
-        m_registrationFollower.setWaiting(m_reads);
+        m_intentFollower.setWaiting(m_isReader);
+        m_registrationFollower.setWaiting(m_isReader);
     }
     if (const auto next = m_duty.handsOverTo(now)) {
         m_hooks.send(*next, hop::CatalogOffer{version(), false});
     }
-    // Words and answers are lost at times: who is behind does not wait for another word.
+    // Announcements and answers can be lost, so a host that is behind does not wait for another
+    // one.
     if (lacks(m_newest)) {
-        hearOf(m_newestAt, m_newest);
+        onVersionReported(m_newestHolder, m_newest);
     }
-    lookAgain();
+    scheduleRoleCheck();
 }
 
-void DiscoveredConfiguration::lookAgain()
+void DiscoveredConfiguration::scheduleRoleCheck()
 {
-    m_lookTimer.expires_after(lookInterval);
-    m_lookTimer.async_wait([this](const boost::system::error_code &cancelled) {
+    m_roleTimer.expires_after(roleCheckInterval);
+    m_roleTimer.async_wait([this](const boost::system::error_code &cancelled) {
         if (!cancelled) {
-            look();
+            checkReaderRole();
         }
     });
 }
@@ -90,10 +90,10 @@
 void DiscoveredConfiguration::onReachability(std::string_view collection, bool reached)
 {
     log::info(std::string(collection), {{"reached", reached}});
-    look();
+    checkReaderRole();
 }
 
-// Telling others.
+// Informing other hosts.
 
 CatalogVersion DiscoveredConfiguration::version() const
 {
@@ -105,9 +105,9 @@
     return {m_intentFollower.through(), m_registrationFollower.through()};
 }
 
-bool DiscoveredConfiguration::lacks(const CatalogVersion &told) const
+bool DiscoveredConfiguration::lacks(const CatalogVersion &reported) const
 {
-    return told.intent > m_intentVersion.value_or(0) || told.registrations > m_registrationFollower.through();
+    return reported.intent > m_intentVersion.value_or(0) || reported.registrations > m_registrationFollower.through();
 }
 
 CatalogVersion DiscoveredConfiguration::announced() const
@@ -120,19 +120,19 @@
     return json{{intentPart, m_intent}, {registrationsPart, m_registrationFollower.objects()}}.dump();
 }
 
-// News of the store. All hosts read it once at their start; only readers pass on what
-// they read.
-void DiscoveredConfiguration::tellZone()
+// Announces a change that was read in the store. All hosts read the store once at their start;
+// only readers forward what they read.
+void DiscoveredConfiguration::informZone()
 {
     if (!m_current) {
         return;
     }
     m_texts.set(catalogText(), version(), through());
-    if (!m_reads) {
+    if (!m_isReader) {
         return;
     }
     const hop::CatalogPush push = m_texts.pushFor(m_texts.digestBefore());
-    const bool isSmall = push.difference.size() <= largestUnasked;
+    const bool isSmall = push.difference.size() <= maxUnrequestedBytes;
     for (const std::string &host : m_hooks.zone().mates) {
         if (isSmall) {
             m_hooks.send(host, push);
@@ -152,34 +152,34 @@
 
 void DiscoveredConfiguration::heardOf(const std::string &host, const CatalogVersion &version)
 {
-    hearOf(host, version);
+    onVersionReported(host, version);
 }
 
 void DiscoveredConfiguration::onCatalogOffer(const std::string &from, const hop::CatalogOffer &offer)
 {
     if (!offer.readsStore) {
         m_duty.onHandOver(Clock::now());
-        look();
+        checkReaderRole();
     }
-    hearOf(from, offer.version);
+    onVersionReported(from, offer.version);
 }
 
-void DiscoveredConfiguration::hearOf(const std::string &host, const CatalogVersion &told)
+void DiscoveredConfiguration::onVersionReported(const std::string &host, const CatalogVersion &reported)
 {
     const TimePoint now = Clock::now();
-    if (!lacks(told)) {
+    if (!lacks(reported)) {
         m_behindSince.reset();
         m_hasCaughtUp = m_current != nullptr;
         return;
     }
-    m_newest = told;
-    m_newestAt = host;
-    if (StoreRevision::fromOrdered(told.registrations).epoch > storeEpoch()) {
-        m_epochHeardAt = m_epochHeardAt.value_or(now);
+    m_newest = reported;
+    m_newestHolder = host;
+    if (StoreRevision::fromOrdered(reported.registrations).epoch > storeEpoch()) {
+        m_newerEpochSince = m_newerEpochSince.value_or(now);
     }
     if (m_hasCaughtUp && host != m_zoneReader) {
         m_behindSince = m_behindSince.value_or(now);
-        if (now < *m_behindSince + newsPatience) {
+        if (now < *m_behindSince + zoneUpdateDelay) {
             return;
         }
         m_behindSince.reset();
@@ -206,8 +206,8 @@
     servePulls();
 }
 
-// One after the other, each with the newest there is when its turn comes, and with a pause
-// in which the link is left to heartbeats and statements.
+// Serves requests one by one, each with the newest text at that time, and pauses after each to
+// leave the link to heartbeats and statements.
 void DiscoveredConfiguration::servePulls()
 {
     if (m_pausesPushes || m_pulls.empty() || m_stopped) {
@@ -217,7 +217,7 @@
     m_pulls.pop_front();
     m_texts.setThrough(through());
     hop::CatalogPush push = m_texts.pushFor(digest);
-    const milliseconds pause = timeOfBulk(push.difference.size());
+    const milliseconds pause = transferTime(push.difference.size());
     m_hooks.send(host, std::move(push));
     m_pausesPushes = true;
     m_pushTimer.expires_after(pause);
@@ -229,8 +229,8 @@
     });
 }
 
-// How long that much takes at the share of the link that is left to bulk.
-milliseconds DiscoveredConfiguration::timeOfBulk(std::size_t bytes) const
+// The time that a transfer takes at the share of the link that is available to bulk transfers.
+milliseconds DiscoveredConfiguration::transferTime(std::size_t bytes) const
 {
     const std::uint64_t rate = m_hooks.bulkBytesPerSecond;
     return rate == 0 ? milliseconds{0} : milliseconds{bytes * 1000 / rate};
@@ -249,7 +249,7 @@
     }
     ++m_refusedPushes;
     log::info("catalog_refused", {{"peer", from}, {"fault", text.error().message}, {"refused_so_far", m_refusedPushes}});
-    // A whole that was damaged is not asked for again at once: heartbeats tell of it again.
+    // A damaged whole text is not requested again at once: heartbeats announce the version again.
     if (push.baseDigest != 0) {
         pullFrom(from, push.baseDigest == m_texts.digest() ? 0 : m_texts.digest());
     }
@@ -268,7 +268,7 @@
                                                             push.version.registrations, push.through.registrations, 0);
     if (registrations) {
         noteEpoch(from);
-        takeRegistrations(m_registrationFollower.objects());
+        applyRegistrations(m_registrationFollower.objects());
     }
     std::optional<Configuration> accepted;
     if (push.version.intent > m_intentVersion.value_or(0)) {
--- a/src/runtime/store/httpclient.cpp
+++ b/src/runtime/store/httpclient.cpp
@@ -1,4 +1,4 @@
-// One Connection per outstanding call, reused through a list of idle ones.
+// Uses one connection per outstanding call and keeps idle ones for reuse.
 
 #include "runtime/store/httpclient.h"
 
@@ -29,7 +29,7 @@
 namespace
 {
 
-// Values of the store reach a megabyte; host lists and statuses stay below.
+// Stored values reach a megabyte; host lists and statuses are smaller.
 constexpr std::uint64_t BodyLimit = std::uint64_t{8} * 1024 * 1024;
 constexpr std::size_t MaxIdleConnections = 8;
 constexpr unsigned HttpVersion = 11;
@@ -48,7 +48,7 @@
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
     http::request<http::string_body> request;
-    // A parser of its own for every answer.
+    // Every answer needs a new parser.
     std::optional<http::response_parser<http::string_body>> parser;
     HttpHandler handler;
 };
@@ -77,7 +77,7 @@
     std::vector<ConnectionPtr> idle;
     // Invariant: each has a handler that has not run yet.
     std::vector<ConnectionPtr> busy;
-    // True once the owner has gone: handlers must not run any more.
+    // True after the client was destroyed: handlers must not run any more.
     bool closed = false;
 };
 
@@ -100,9 +100,9 @@
     return request;
 }
 
-// An idle connection whose server has closed it would swallow the next request:
-// the caller could not tell whether it arrived. One notices it by the end of
-// stream (or stray bytes) that waits to be read; such connections are not reused.
+// If the server has closed an idle connection, the next request on it is lost and the caller
+// can't determine whether it arrived. A pending end of stream (or stray bytes) shows this; such
+// connections are not reused.
 bool isReusable(beast::tcp_stream &stream)
 {
     char byte = 0;
@@ -112,8 +112,8 @@
     return error == asio::error::would_block;
 }
 
-// Nothing came although the server should have answered or acknowledged. Connections that were
-// idle meanwhile may have gone silent with this one, and nothing shows it until they are used.
+// The server neither answered nor acknowledged. Connections that were idle meanwhile may be dead
+// as well, which shows only when they are used.
 bool wasSilent(const error_code &error)
 {
     return error == beast::error::timeout || error == asio::error::timed_out;
@@ -130,7 +130,7 @@
     }
     connection->request = toRequest(call, server);
     connection->handler = std::move(handler);
-    // Beast counts on a clock of its own, so it gets what is left.
+    // Beast uses a clock of its own, so it gets the remaining time.
     connection->stream.expires_after(deadline - Clock::now());
     busy.push_back(connection);
     if (fresh) {
--- a/src/runtime/store/httpclient.h
+++ b/src/runtime/store/httpclient.h
@@ -1,7 +1,6 @@
-// A small asynchronous HTTP/1.1 client with JSON bodies for one server address:
-// the plumbing below the store client and the operator commands. It keeps idle
-// connections for reuse, and says for every failed call whether the request may
-// have reached the server.
+// A small asynchronous HTTP/1.1 client with JSON bodies for one server address, used by the store
+// client and the operator commands. It keeps idle connections for reuse, and reports for every
+// failed call whether the request may have reached the server.
 
 #pragma once
 
@@ -24,7 +23,7 @@
 namespace egrettide
 {
 
-// An answer as the server gave it, whatever its status.
+// A server's answer with any status.
 struct HttpAnswer {
     boost::beast::http::status status = boost::beast::http::status::unknown;
     std::string body;
--- a/src/runtime/store/storeclient.cpp
+++ b/src/runtime/store/storeclient.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-// A watch asks the platform to answer this long before the caller's deadline, so
-// that a quiet watch ends with the platform's own answer.
+// How long before the caller's deadline the platform must answer a watch, so that a watch without
+// changes ends with the platform's own answer.
 constexpr milliseconds WatchMargin{250};
 
 std::string escaped(const std::string &text)
@@ -69,7 +69,7 @@
     return version != document.end() && version->is_number_unsigned() ? version->get<std::uint64_t>() : 0;
 }
 
-// What a finished call's status means, whatever the kind of call; nothing for success.
+// Maps the status of a finished call of any kind to a failure; empty on success.
 std::optional<StoreError> errorOf(const HttpAnswer &answer, const json &document, const std::string &key, bool writes)
 {
     switch (answer.status) {
@@ -96,7 +96,7 @@
     if (http::to_status_class(answer.status) == http::status_class::client_error) {
         return failure(StoreFailure::Refused, ErrorKind::InvalidInput,
                        "The store refuses the call on '" + key + "' (" + status + ": " + answer.body
-                           + "); mend the key or value.")
+                           + "); correct the key or value.")
             .value();
     }
     return (writes ? outcomeUnknown(status) : unavailable(status)).value();
@@ -201,7 +201,7 @@
         [handler = std::move(handler)](const tl::expected<HttpAnswer, HttpFailure> &answer) { handler(toHosts(answer)); });
 }
 
-// The platform lists its hosts itself.
+// Does nothing: the platform maintains the host list itself.
 void StoreClient::registerHost(const ListedHost & /*self*/, TimePoint /*deadline*/, DoneHandler handler)
 {
     boost::asio::post(m_context, [handler = std::move(handler)] { handler({}); });
--- a/src/runtime/store/storeclient.h
+++ b/src/runtime/store/storeclient.h
@@ -1,4 +1,4 @@
-// The product's own API of the object store and host list, over keep-alive HTTP.
+// Client of the platform's object store and host list over keep-alive HTTP.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 namespace egrettide
 {
 
-// See Store for what each call promises. Use it from the io_context's one thread.
+// See Store for the contract of each call. Used from the io_context's single thread.
 class StoreClient : public Store
 {
 public:
