--- a/tests/runtime/collection_test.cpp
+++ b/tests/runtime/collection_test.cpp
@@ -1,4 +1,4 @@
-// How a collection of objects in a store is followed.
+// How a follower keeps its copy of a collection current.
 
 #define BOOST_TEST_MODULE Collection
 #include <boost/test/unit_test.hpp>
@@ -16,12 +16,12 @@
 namespace
 {
 
-// A store in which another object appears whenever the last one has been told, up to
-// a number of them.
+// A store that adds an object whenever the previous one has been returned, up to a number of
+// them.
 struct BusyStore {
     boost::asio::io_context &context;
     int objects;
-    int told = 0;
+    int reported = 0;
     std::vector<TimePoint> calls{};
 
     CollectionSource source()
@@ -32,11 +32,11 @@
         };
         source.changes = [this](std::uint64_t since, TimePoint, const auto &handler) {
             calls.push_back(Clock::now());
-            if (told == objects) {
+            if (reported == objects) {
                 return;
             }
-            ++told;
-            const CollectionChange change{{"object-" + std::to_string(told), told}, false};
+            ++reported;
+            const CollectionChange change{{"object-" + std::to_string(reported), reported}, false};
             boost::asio::post(context, [handler, change, since] { handler(CollectionChanges{{change}, since + 1}); });
         };
         return source;
@@ -47,11 +47,9 @@
 
 BOOST_AUTO_TEST_SUITE(CollectionFollowerOfAStore)
 
-// Symptom: when many upstreams register one after the other, the store counts as many
-// calls from every host as there are upstreams.
-// Sequence: each change answers the waiting call, and the next call leaves at once.
-// Cause: changes that come in a row were not gathered.
-BOOST_AUTO_TEST_CASE(GathersChangesThatComeInARow)
+// Without batching, each change answers the waiting call and the next call leaves at once, so
+// upstreams that register one by one cause as many calls from every host.
+BOOST_AUTO_TEST_CASE(BatchesConsecutiveChanges)
 {
     boost::asio::io_context context;
     BusyStore store{context, 3};
@@ -69,17 +67,14 @@
     }
 }
 
-// Symptom: hosts take each other for dead while an operator changes routes quickly.
-// Sequence: a large object changes twelve times in four seconds; the follower's host has a
-// slow link.
-// Cause: the waiting call was told every one of the twelve whole.
-// Of twelve changes of an object that fills the link for 100 ms: twelve objects before, at
-// most one for each list now.
+// If a waiting call returns every one of twelve quick changes of a large object whole, it fills a
+// slow link, and hosts suspect each other of having failed. With an object that takes the link
+// 100 ms, waiting transfers all twelve; listing transfers at most one per list.
 BOOST_AUTO_TEST_CASE(ListsALargeCollectionThatChangesQuickly)
 {
     boost::asio::io_context context;
     int changed = 12;
-    int told = 0;
+    int reported = 0;
     int lists = 0;
     CollectionSource source;
     source.list = [&](TimePoint, const auto &handler) {
@@ -92,7 +87,7 @@
         if (since != 1) {
             return;
         }
-        told += 1;
+        reported += 1;
         CollectionChanges changes{{{{"main", 2, 2}, false}}, 2, 1000};
         boost::asio::post(context, [handler, changes] { handler(changes); });
     };
@@ -104,16 +99,15 @@
     follower.start();
     context.run_until(Clock::now() + std::chrono::seconds{3});
     BOOST_TEST(seen == 13);
-    BOOST_TEST(told == 1, "the waiting call was asked for " << told << " times before the list");
+    BOOST_TEST(reported == 1, "changes were requested " << reported << " times before the list");
     BOOST_TEST(lists == 3, "it lists until nothing changes any more, and then waits: " << lists);
 }
 
-// Symptom: a host stays 9 s behind a configuration that the others of its zone have.
-// Sequence: a large object changes quickly; the zone's reader hands its duty over; the next
-// one waits from where it is, and is told eight changes whole, which fill its link until the
-// call's end and hold up what its neighbours tell.
-// Cause: only a follower that had seen a large answer itself listed.
-BOOST_AUTO_TEST_CASE(ListsALargeCollectionWhenItsTurnComes)
+// A large object changes quickly while the zone's reader hands over. If only a follower that has
+// itself received a large answer lists, the new reader gets eight changes whole, which fill its
+// link until the call's end and delay what its neighbors send: the host stays 9 s behind its
+// zone.
+BOOST_AUTO_TEST_CASE(ListsALargeCollectionWhenItBecomesReader)
 {
     boost::asio::io_context context;
     int lists = 0;
@@ -141,8 +135,9 @@
     BOOST_TEST(waitedFrom.front() == 9U, "it waited from " << waitedFrom.front());
 }
 
-// Guards against a host that lists a store ten times a second, and takes it for out of reach, because its waits are refused.
-BOOST_AUTO_TEST_CASE(ListsLessAndLessOftenWhileItsWaitsAreRefused)
+// Guards against a host that lists a store ten times a second, and treats it as unreachable,
+// because its waits are refused.
+BOOST_AUTO_TEST_CASE(BacksOffItsListsWhileItsWaitsAreRefused)
 {
     boost::asio::io_context context;
     int lists = 0;
@@ -165,8 +160,9 @@
     BOOST_TEST(lost == 0, "a store that answers counted as out of reach " << lost << " times");
 }
 
-// Guards against hosts that ask each other for what they have, since each tells the revision of its own list.
-BOOST_AUTO_TEST_CASE(IsAsNewAsWhatItHoldsAndNotAsItsList)
+// Guards against hosts that request from each other what they already have, because each
+// announces the revision of its own list.
+BOOST_AUTO_TEST_CASE(ReportsTheRevisionOfItsContentAndNotOfItsList)
 {
     boost::asio::io_context context;
     const auto in = [](std::uint64_t epoch, std::uint64_t revision) { return StoreRevision{epoch, revision}.ordered(); };
@@ -184,8 +180,8 @@
             boost::asio::post(context, [handler] { handler(tl::unexpected(CollectionFailure::HistoryGone)); });
         }
     };
-    int told = 0;
-    CollectionFollower follower(context, source, CollectionFollowerHooks{[&told](const auto &) { ++told; }, [](bool) {}});
+    int reported = 0;
+    CollectionFollower follower(context, source, CollectionFollowerHooks{[&reported](const auto &) { ++reported; }, [](bool) {}});
     follower.start();
     context.run_until(Clock::now() + milliseconds{500});
     BOOST_TEST(follower.contentRevision() == in(1, 40));
@@ -194,14 +190,15 @@
     context.run_until(Clock::now() + milliseconds{2000});
     BOOST_TEST(follower.through() == in(2, 70));
     BOOST_TEST(follower.contentRevision() == in(2, 40));
-    BOOST_TEST(told == 2, "a restore that changed nothing has to be told all the same");
+    BOOST_TEST(reported == 2, "a restore that changed nothing must be reported all the same");
 }
 
-// Guards against a configuration that is late because the store took the waiting call and never answers it.
+// Guards against a late configuration when the store accepts the waiting call and never answers
+// it.
 BOOST_AUTO_TEST_CASE(WaitsNoLongerThanAChangeMayTake)
 {
     constexpr milliseconds inForceWithin{3000};
-    // For the pause before the next call, its answer, and the way to the other hosts.
+    // Covers the pause before the next call, its answer, and the way to the other hosts.
     constexpr milliseconds reserve{400};
     boost::asio::io_context context;
     milliseconds longest{0};
--- a/tests/runtime/configurationkeeper_test.cpp
+++ b/tests/runtime/configurationkeeper_test.cpp
@@ -1,4 +1,4 @@
-// How a configuration reaches every host and never reverts, with store outages.
+// How a configuration reaches every host and never reverts, also during store outages.
 
 #define BOOST_TEST_MODULE ConfigurationKeeper
 #include <boost/test/unit_test.hpp>
@@ -77,7 +77,7 @@
 
     void deliver(const std::string &from, const std::string &to, hop::HopMessage message)
     {
-        // Some cases name peers that they speak for themselves.
+        // Some cases name peers that have no keeper and send their messages directly.
         if (!hosts.contains(to) || hosts.at(from).cutOff || hosts.at(to).cutOff) {
             return;
         }
@@ -128,11 +128,10 @@
     BOOST_TEST(allAt(second), "not every host took version " << second);
 }
 
-BOOST_FIXTURE_TEST_CASE(AFreshHostLearnsItFromOthersWhileTheStoreIsOut, Fleet)
+BOOST_FIXTURE_TEST_CASE(ANewHostReceivesItFromOthersDuringAStoreOutage, Fleet)
 {
-    // Symptom: hosts replaced during a store outage refuse all callers.
-    // Sequence: the store goes down; a host is replaced; it knows nothing.
-    // Cause: the store as the only source.
+    // If the store is the only source, a host that is replaced during a store outage has no
+    // configuration and refuses all callers.
     add("a", true);
     hosts.at("a").keeper->start();
     const std::uint64_t version = platform.put(std::string(ConfigurationKey), objectWithReplicaWait(10, "one"));
@@ -144,26 +143,23 @@
     BOOST_TEST(allAt(version), "the fresh host stayed without a configuration");
 }
 
-BOOST_FIXTURE_TEST_CASE(AFreshHostPutsNoOldValueInForceOnceAPeerToldOfANewerOne, Fleet)
+BOOST_FIXTURE_TEST_CASE(ANewHostPutsNoOldValueInForceOnceAPeerReportedANewerOne, Fleet)
 {
-    // Symptom: statements reach an upstream that was to be empty.
-    // Sequence: a host is replaced and reads an old value; a peer holds a newer one
-    // in which the upstream is leaving.
-    // Cause: serving with the first value that is read.
+    // If a replaced host serves with the first value that it reads, which is old, statements
+    // reach an upstream that is leaving according to a peer's newer value and was to be empty.
     add("fresh", false);
     const std::uint64_t oldVersion = platform.put(std::string(ConfigurationKey), objectWithReplicaWait(10, "one"));
     hosts.at("fresh").keeper->heardOf("peer", {oldVersion + 1, 0});
     hosts.at("fresh").keeper->onPush("lagging", hop::ConfigPush{oldVersion, objectWithReplicaWait(10, "one").dump()});
-    BOOST_TEST(versionAt("fresh") == 0U, "an old value was put in force though a peer told of a newer one");
+    BOOST_TEST(versionAt("fresh") == 0U, "an old value was put in force though a peer reported a newer one");
     hosts.at("fresh").keeper->onPush("peer", hop::ConfigPush{oldVersion + 1, objectWithReplicaWait(20, "two").dump()});
     BOOST_TEST(versionAt("fresh") == oldVersion + 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(AnOldPushNeverReverts, Fleet)
 {
-    // Symptom: an accepted change of the configuration is undone minutes later.
-    // Sequence: a host that was cut off returns and passes on what it holds.
-    // Cause: taking what arrives last instead of what is newest.
+    // If a host accepts the last value that arrives instead of the newest, an accepted change is
+    // undone minutes later, when a host that was cut off returns and sends its old configuration.
     add("a", true);
     hosts.at("a").keeper->start();
     const auto oldObject = objectWithReplicaWait(10, "one");
@@ -178,9 +174,8 @@
 
 BOOST_FIXTURE_TEST_CASE(ADamagedObjectLeavesTheLastGoodOneInForce, Fleet)
 {
-    // Symptom: a host spins and fills its log.
-    // Sequence: the store holds an object that no host can read.
-    // Cause: watching from the version in force, which the damaged one is above.
+    // If a host watches from the version in force while the store holds a newer object that no
+    // host can read, the watch returns at once each time: the host loops and fills its log.
     add("a", true);
     hosts.at("a").keeper->start();
     const std::uint64_t good = platform.put(std::string(ConfigurationKey), objectWithReplicaWait(10, "one"));
@@ -194,7 +189,7 @@
     BOOST_TEST(allAt(better), "a good version after a damaged one was not taken");
 }
 
-BOOST_FIXTURE_TEST_CASE(MalformedPushesDisturbNothing, Fleet)
+BOOST_FIXTURE_TEST_CASE(MalformedPushesAreIgnored, Fleet)
 {
     add("a", false);
     hosts.at("a").keeper->start();
--- a/tests/runtime/discoveredconfiguration_test.cpp
+++ b/tests/runtime/discoveredconfiguration_test.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr int manyRoutes = 1900;
-// What upstreams have at least to write themselves into a restored store.
+// The minimum time that upstreams get to register again in a restored store.
 constexpr milliseconds timeToWriteAgain{2000};
 
 int callsOfAll(const StoreFleet &fleet)
@@ -24,7 +24,7 @@
     return std::accumulate(calls.begin(), calls.end(), 0, [](int sum, const auto &entry) { return sum + entry.second; });
 }
 
-// Everything that can happen to readers and their links, one after the other.
+// Applies one random fault to a store reader or its links, or one change of a registration.
 void disturb(StoreFleet &fleet, std::mt19937_64 &random, std::size_t hosts)
 {
     const std::string host = "host-" + std::to_string(random() % hosts);
@@ -66,9 +66,8 @@
 
 BOOST_AUTO_TEST_SUITE(HostsThatShareAStore)
 
-// Symptom: the store's rate and its price are used up by hosts that change nothing.
-// Sequence: every host follows both collections by itself.
-// Cause: calls grew with hosts: 0.8 a second and host at 18 and at 295 hosts before.
+// If every host follows both collections by itself, the store's call rate and cost grow with
+// hosts that change nothing; measured: 0.8 calls per second and host at 18 and at 295 hosts.
 BOOST_AUTO_TEST_CASE(CallItOnceForAllOfThem)
 {
     StoreFleet fleet(20, 1);
@@ -84,10 +83,9 @@
     BOOST_TEST(calls <= 2 * 4 + 2, "20 hosts made " << calls << " calls for three changes");
 }
 
-// Symptom: with 1,900 routes every change fills all links for a second.
-// Sequence: a storm of changes, each of which goes to every host whole.
-// Cause: hosts did not tell each other what had changed.
-BOOST_AUTO_TEST_CASE(TellEachOtherDifferences)
+// If each of many changes goes to every host whole instead of as a difference, every change fills
+// all links for a second with 1,900 routes.
+BOOST_AUTO_TEST_CASE(SendEachOtherDifferences)
 {
     StoreFleet fleet(20, 2);
     fleet.configure(1, manyRoutes);
@@ -99,10 +97,9 @@
     BOOST_TEST(fleet.bytesSent / 20 <= 4U * 1024U, "the change of one upstream took " << fleet.bytesSent / 20 << " bytes a host");
 }
 
-// Symptom: hosts of a zone stay with an old configuration.
-// Sequence: the answer to the reader's waiting call is lost; a change comes.
-// Cause: the reader believed its store for as long as the call lasted.
-BOOST_AUTO_TEST_CASE(HearOfChangesFromAnotherHostWhenTheReadersAnswerIsLost)
+// When the answer to the reader's waiting call is lost, a reader that trusts the call until its
+// end leaves its zone with an old configuration.
+BOOST_AUTO_TEST_CASE(ReceiveChangesFromAnotherHostWhenTheReadersAnswerIsLost)
 {
     StoreFleet fleet(6, 3);
     fleet.configure(1);
@@ -132,8 +129,8 @@
     BOOST_TEST(fleet.runUntil([&] { return fleet.allHave(2); }));
 }
 
-// Guards against hosts that keep an upstream which its readers know to be gone, as they found it missing in a list.
-BOOST_AUTO_TEST_CASE(TellEachOtherOfARemovalThatAListShows)
+// Guards against hosts that keep an upstream whose removal their readers found only by listing.
+BOOST_AUTO_TEST_CASE(InformEachOtherOfARemovalThatAListShows)
 {
     StoreFleet fleet(6, 8);
     fleet.store.put("registrations", "upstream-1", {{"term", 1}});
@@ -148,16 +145,16 @@
 }
 
 // Guards against a host that stays behind because one answer was lost and no heartbeat comes.
-BOOST_AUTO_TEST_CASE(AskAgainWithoutAnotherWord)
+BOOST_AUTO_TEST_CASE(RequestAgainWithoutAnotherAnnouncement)
 {
     boost::asio::io_context context{1};
     egrettide::test::SharedStore store{context};
     store.put("intent", "main", {{"version", 1}});
-    int asked = 0;
+    int requests = 0;
     ConfigurationKeeperHooks hooks;
     hooks.accepted = [](const std::shared_ptr<const Configuration> &) {};
-    hooks.send = [&asked](const std::string &, const hop::HopMessage &message) {
-        asked += std::holds_alternative<hop::CatalogPull>(message) ? 1 : 0;
+    hooks.send = [&requests](const std::string &, const hop::HopMessage &message) {
+        requests += std::holds_alternative<hop::CatalogPull>(message) ? 1 : 0;
     };
     hooks.someHosts = [](std::size_t) { return std::vector<std::string>{}; };
     hooks.zone = [] { return ZoneHosts{true, {"reader", "self"}, {"reader"}}; };
@@ -172,15 +169,16 @@
     context.run_until(Clock::now() + milliseconds{100});
     BOOST_TEST_REQUIRE(source.current() != nullptr);
     source.heardOf("other", CatalogVersion{100, 0});
-    for (const TimePoint end = Clock::now() + milliseconds{10000}; asked < 3 && Clock::now() < end;) {
+    for (const TimePoint end = Clock::now() + milliseconds{10000}; requests < 3 && Clock::now() < end;) {
         context.run_for(std::chrono::milliseconds(10));
     }
     source.stop();
-    BOOST_TEST(asked == 3);
+    BOOST_TEST(requests == 3);
 }
 
-// A host that starts while the store is down gets what the others hold.
-BOOST_AUTO_TEST_CASE(GiveItToNewcomers)
+// A host that starts while the store is unavailable receives the configuration from the other
+// hosts.
+BOOST_AUTO_TEST_CASE(SendItToNewHosts)
 {
     StoreFleet fleet(5, 5);
     fleet.configure(7, manyRoutes);
@@ -190,14 +188,15 @@
     BOOST_TEST(fleet.runUntil([&] { return fleet.versionAt("host-2") == 7; }));
 }
 
-// Damaged differences are refused, the whole is asked for, and nothing goes back.
+// Damaged differences are refused, the whole text is requested, and no host returns to an older
+// version.
 BOOST_AUTO_TEST_CASE(RefuseDamagedDifferences)
 {
     StoreFleet fleet(6, 6);
     fleet.configure(1, 50);
     BOOST_TEST_REQUIRE(fleet.runUntil([&] { return fleet.allHave(1); }));
     std::mt19937_64 random(6);
-    fleet.onTheWay = [&random](hop::HopMessage &message) {
+    fleet.onSend = [&random](hop::HopMessage &message) {
         auto *push = std::get_if<hop::CatalogPush>(&message);
         if (push != nullptr && !push->difference.empty() && random() % 2 == 0) {
             push->difference[random() % push->difference.size()] ^= 0x55;
@@ -210,7 +209,8 @@
     BOOST_TEST(fleet.regressions == 0);
 }
 
-// Guards against hosts that take up nothing new while the store holds an older configuration than they have.
+// Guards against hosts that accept no changes while the store holds an older configuration than
+// they have.
 BOOST_AUTO_TEST_CASE(FollowRegistrationsWhileOperatorsHaveNotWrittenAgain)
 {
     StoreFleet fleet(6, 9);
@@ -230,8 +230,9 @@
     BOOST_TEST(fleet.regressions == 0);
 }
 
-// Guards against a host that starts before operators have written again, and stays with what the store has.
-BOOST_AUTO_TEST_CASE(GiveNewcomersTheConfigurationThatTheStoreHasLost)
+// Guards against a host that starts before operators have written again and keeps the store's
+// older configuration.
+BOOST_AUTO_TEST_CASE(SendNewHostsTheConfigurationThatTheStoreHasLost)
 {
     StoreFleet fleet(6, 10);
     fleet.configure(1);
@@ -247,8 +248,9 @@
     BOOST_TEST(fleet.regressions == 0);
 }
 
-// Guards against a host that is cut off from the store and keeps what it knew before the return.
-BOOST_AUTO_TEST_CASE(TellThoseThatCannotReachItOfItsReturn)
+// Guards against a host that is cut off from the store and keeps the state from before the
+// restore.
+BOOST_AUTO_TEST_CASE(InformHostsThatCannotReachItOfItsReturn)
 {
     StoreFleet fleet(6, 11);
     fleet.configure(1);
@@ -267,8 +269,9 @@
     BOOST_TEST(fleet.regressions == 0);
 }
 
-// Guards against an upstream that leaves and gets work again, since the copy has its older word.
-BOOST_AUTO_TEST_CASE(KeepTheNewerWordOfAnUpstreamUntilItHadTheTimeToWriteAgain)
+// Guards against new work on an upstream that is leaving, caused by its older state in the
+// restored copy.
+BOOST_AUTO_TEST_CASE(KeepTheNewerStateOfAnUpstreamUntilItHadTheTimeToWriteAgain)
 {
     constexpr std::size_t hosts = 4;
     StoreFleet fleet(hosts, 12);
@@ -281,12 +284,13 @@
     fleet.store.restoreCopy();
     fleet.configure(2);
     BOOST_TEST_REQUIRE(fleet.runUntil([&] { return fleet.allHave(2); }));
-    // Whoever does not write again has nothing newer to say.
-    BOOST_TEST(fleet.runUntil([&] { return fleet.knowAsLeaving("upstream-1") == 0; }), "the older word never counted");
-    BOOST_TEST(fleet.earliestLoss >= timeToWriteAgain, "an older word was taken after " << fleet.earliestLoss.count() << " ms");
+    // An upstream that does not write again has no newer state, so the store's state applies.
+    BOOST_TEST(fleet.runUntil([&] { return fleet.knowAsLeaving("upstream-1") == 0; }), "the older state never applied");
+    BOOST_TEST(fleet.earliestLoss >= timeToWriteAgain,
+               "an older state was applied after " << fleet.earliestLoss.count() << " ms");
 }
 
-// Guards against upstreams that count as gone while they write themselves into the store again.
+// Guards against upstreams that count as gone while they register again in the restored store.
 BOOST_AUTO_TEST_CASE(KeepUpstreamsThatTheStoreHasLostUntilTheyHadTheTimeToWriteAgain)
 {
     StoreFleet fleet(4, 13);
@@ -301,11 +305,11 @@
     BOOST_TEST_REQUIRE(fleet.runUntil([&] { return fleet.allHave(2); }));
     fleet.store.put("registrations", "returns", {{"heartbeats", 2}});
     BOOST_TEST(fleet.runUntil([&] { return fleet.allKnowUpstreams(1); }));
-    BOOST_TEST(fleet.earliestLoss >= timeToWriteAgain, "one was taken for gone after " << fleet.earliestLoss.count() << " ms");
+    BOOST_TEST(fleet.earliestLoss >= timeToWriteAgain, "one counted as gone after " << fleet.earliestLoss.count() << " ms");
 }
 
-// Any schedule of restores, lost and late messages, restarts, cuts and outages ends with what operators and
-// upstreams wrote last at every host, and none goes back.
+// After any schedule of restores, lost and late messages, restarts, cuts and outages, every host
+// has the last state that operators and upstreams wrote, and none returned to an older version.
 BOOST_AUTO_TEST_CASE(EndWithWhatWasWrittenLastUnderAnyScheduleOfRestores)
 {
     constexpr std::size_t hosts = 7;
@@ -334,12 +338,13 @@
         }
         BOOST_TEST(fleet.runUntil([&] { return fleet.allHave(fleet.newest) && fleet.allKnowUpstreams(registered); }),
                    "seed " << seed << ": not all hosts have what was written last");
-        BOOST_TEST(fleet.regressions == 0, "seed " << seed << ": a host went back");
+        BOOST_TEST(fleet.regressions == 0, "seed " << seed << ": a host returned to an older version");
     }
 }
 
-// Any schedule of lost, late and reordered messages, restarts, frozen hosts and outages of
-// the store ends with the version that was accepted last at every host, and none goes back.
+// After any schedule of lost, late and reordered messages, restarts, frozen hosts and store
+// outages, every host has the version that was accepted last, and none returned to an older
+// version.
 BOOST_AUTO_TEST_CASE(EndWithTheNewestVersionUnderAnySchedule)
 {
     constexpr std::size_t hosts = 7;
@@ -355,7 +360,7 @@
         }
         heal(fleet, hosts);
         BOOST_TEST(fleet.runUntil([&] { return fleet.allHave(fleet.newest); }), "seed " << seed << ": not all hosts have it");
-        BOOST_TEST(fleet.regressions == 0, "seed " << seed << ": a host went back");
+        BOOST_TEST(fleet.regressions == 0, "seed " << seed << ": a host returned to an older version");
     }
 }
 
--- a/tests/runtime/httpclient_test.cpp
+++ b/tests/runtime/httpclient_test.cpp
@@ -1,4 +1,4 @@
-// Calls to one server over connections that go silent.
+// Calls to one server over connections that stop responding.
 
 #define BOOST_TEST_MODULE HttpClient
 #include <boost/test/unit_test.hpp>
@@ -26,11 +26,10 @@
 namespace
 {
 
-// Generous: it only decides how long a broken test takes to fail.
-constexpr std::chrono::seconds generous{20};
+// Only decides how long a broken test takes to fail.
+constexpr std::chrono::seconds failureTimeout{20};
 
-// Answers each request with an empty object, but on connections that it was told to keep
-// silent on.
+// Answers each request with an empty object, except on connections that were silenced.
 class Server
 {
 public:
@@ -53,7 +52,7 @@
         }
     }
 
-    // What is open now never says anything any more; what is opened later works.
+    // Connections that are open now get no more answers; later ones work.
     void silencePresentConnections()
     {
         for (const auto &connection : m_connections) {
@@ -61,8 +60,8 @@
         }
     }
 
-    // Packets that come over the present connections are dropped before the kernel sees them, so
-    // that nothing is acknowledged and no probe is answered.
+    // Drops packets of the present connections before the kernel processes them, so that nothing
+    // is acknowledged and no probe is answered.
     void dropPackets()
     {
         for (const auto &connection : m_connections) {
@@ -141,10 +140,10 @@
     void await(const std::string &what, const std::function<bool()> &condition)
     {
         context.restart();
-        for (const TimePoint end = Clock::now() + generous; !condition() && Clock::now() < end;) {
+        for (const TimePoint end = Clock::now() + failureTimeout; !condition() && Clock::now() < end;) {
             context.run_one_for(milliseconds{20});
         }
-        BOOST_REQUIRE_MESSAGE(condition(), "waited " << generous.count() << " s in vain for: " << what);
+        BOOST_REQUIRE_MESSAGE(condition(), "waited " << failureTimeout.count() << " s without success for: " << what);
     }
 
     void awaitAnswer(const std::shared_ptr<std::optional<Answer>> &answer)
@@ -161,12 +160,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(Calls, Fixture)
 
-// Guards against a host that asks a store in vain over one dead connection after the other.
+// Guards against a host that tries one dead connection to the store after the other.
 BOOST_AUTO_TEST_CASE(UseNoIdleConnectionAfterOneWasFoundSilent)
 {
     server.holdAnswers(true);
-    const auto first = call(generous);
-    const auto second = call(generous);
+    const auto first = call(failureTimeout);
+    const auto second = call(failureTimeout);
     await("two requests", [&] { return server.requests == 2; });
     server.holdAnswers(false);
     awaitAnswer(first);
@@ -181,10 +180,10 @@
     BOOST_TEST((*next)->has_value(), "a call went over a connection that was silent as well");
 }
 
-// Guards against a call that waits for changes on a dead connection until its own end.
-BOOST_AUTO_TEST_CASE(EndSoonOnAConnectionThatNothingComesOverAnyMore)
+// Guards against a call that waits for changes on a dead connection until its own deadline.
+BOOST_AUTO_TEST_CASE(EndSoonOnADeadConnection)
 {
-    const auto waiting = call(std::chrono::duration_cast<milliseconds>(2 * generous));
+    const auto waiting = call(std::chrono::duration_cast<milliseconds>(2 * failureTimeout));
     server.holdAnswers(true);
     await("the request", [&] { return server.requests == 1; });
     server.dropPackets();
@@ -192,8 +191,8 @@
     BOOST_TEST(!(*waiting)->has_value());
 }
 
-// The shortest time in which the users count a host as in touch again is 4 s: a dead connection
-// has to be noticed, and a change to be told, before that.
+// Users count a host as in touch again after 4 s at the earliest: a dead connection must be
+// detected, and a change be sent, before that.
 BOOST_AUTO_TEST_CASE(AreProbedOftenEnoughForAChangeToBeInForceInTime)
 {
     tcp::socket socket(context);
--- a/tests/runtime/storeclient_test.cpp
+++ b/tests/runtime/storeclient_test.cpp
@@ -1,5 +1,5 @@
-// The store client against the platform stand-in, healthy and faulty: every call
-// ends once, and says truly whether a change may have taken effect.
+// The store client against the platform stand-in, healthy and faulty: every call ends once, and
+// reports correctly whether a change may have taken effect.
 
 #define BOOST_TEST_MODULE StoreClient
 #include <boost/test/unit_test.hpp>
@@ -16,7 +16,7 @@
 namespace
 {
 
-// For calls that should succeed; far above what any machine needs.
+// For calls that should succeed; far above the time that any machine needs.
 constexpr std::chrono::seconds Generous{30};
 constexpr milliseconds Short{200};
 
@@ -140,7 +140,7 @@
 
     std::optional<ObjectResult> seen;
     store.client().watch("k", first, Clock::now() + Generous, [&seen](ObjectResult answer) { seen.emplace(std::move(answer)); });
-    // The platform counts the watch as it registers it.
+    // The platform counts the watch when it registers it.
     while (platform.calls().watches < 3) {
         store.read("k");
     }
@@ -150,11 +150,11 @@
     BOOST_TEST((*seen)->version == second);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerIsToldApartFromARefusal)
+BOOST_AUTO_TEST_CASE(LostAnswerIsDistinguishedFromARefusal)
 {
-    // Symptom: an operator repeats a change that was made, or gives up one that was not.
-    // Sequence: the store applies a write, and the connection breaks before its answer.
-    // Cause: a client that reports both as "failed".
+    // The store applies a write and the connection breaks before its answer. If the client
+    // reports this like a refusal, an operator repeats a change that was made, or gives up one
+    // that was not.
     PlatformStandIn platform;
     Caller store(platform);
     platform.loseNextAnswers(1);
@@ -173,9 +173,8 @@
 
 BOOST_AUTO_TEST_CASE(WriteThatTimesOutMayStillTakeEffect)
 {
-    // Symptom: a change appears after its writer was told that it failed.
-    // Sequence: a slow store gets the write; the deadline passes; the store applies it.
-    // Cause: taking a timeout for a refusal.
+    // A slow store applies a write after the caller's deadline. If the timeout counts as a
+    // refusal, the change appears after its writer received a failure.
     PlatformStandIn platform;
     Caller store(platform);
     platform.setDelay(Short * 2);
@@ -213,7 +212,7 @@
     BOOST_TEST(nameOfFailure(*seen) == "Unavailable");
 }
 
-BOOST_AUTO_TEST_CASE(NothingWasSentWhenNobodyListens)
+BOOST_AUTO_TEST_CASE(NothingWasSentWhenNoServerListens)
 {
     std::optional<boost::asio::ip::tcp::endpoint> gone;
     {
@@ -225,11 +224,10 @@
     BOOST_TEST(nameOfFailure(refused) == "Unavailable", "a write that never left must not be an unknown outcome");
 }
 
-BOOST_AUTO_TEST_CASE(RestartedPlatformDoesNotSwallowAWrite)
+BOOST_AUTO_TEST_CASE(WriteAfterAPlatformRestartIsNotLost)
 {
-    // Symptom: a write after a quiet time has an unknown outcome for no reason.
-    // Sequence: the client keeps an idle connection; the platform closes it; the
-    // next write goes out on it. Cause: reuse without a look at the socket.
+    // The platform closes an idle connection that the client keeps. If the client reuses it
+    // without checking the socket, the next write is lost and has an unknown outcome.
     PlatformStandIn platform;
     Caller store(platform);
     BOOST_REQUIRE(store.write("k", 1, 0).has_value());
@@ -248,7 +246,7 @@
     BOOST_TEST(platform.object("k")->value.get<std::string>().size() == 1000u * 1000u);
 }
 
-BOOST_AUTO_TEST_CASE(HostListLagsBehindReality)
+BOOST_AUTO_TEST_CASE(HostListShowsChangesWithADelay)
 {
     PlatformStandIn platform;
     Caller store(platform);
--- a/tests/runtime/storefleet.h
+++ b/tests/runtime/storefleet.h
@@ -1,5 +1,5 @@
-// Hosts that share what they read in one store, over a network that loses and reorders:
-// all in one thread, without sockets.
+// Hosts that share one store over a network that loses and reorders messages, simulated in one
+// thread without sockets.
 
 #pragma once
 
@@ -21,8 +21,8 @@
 namespace egrettide::test
 {
 
-// A store of two collections with watches, which can be down, lose answers, forget, and come
-// back from a copy.
+// A store of two collections with watches, which can be unavailable, lose answers, discard its
+// history, and be restored from a copy.
 class SharedStore
 {
 public:
@@ -50,13 +50,13 @@
         source.changes = [this, host, kind](std::uint64_t since, TimePoint deadline, const auto &handler) {
             ++m_calls[host];
             m_waiting.push_back(Watch{host, kind, since, deadline, handler});
-            boost::asio::post(m_context, [this] { look(); });
+            boost::asio::post(m_context, [this] { answerDue(); });
         };
         return source;
     }
 
-    // Answers what waits and is due; called often.
-    void look()
+    // Answers all waiting calls that are due; called often.
+    void answerDue()
     {
         std::vector<Watch> waiting = std::exchange(m_waiting, {});
         for (Watch &watch : waiting) {
@@ -78,7 +78,7 @@
         cut ? (void)m_cut.insert(host) : (void)m_cut.erase(host);
     }
 
-    // The calls of this host that wait are never answered.
+    // Discards the waiting calls of this host, so that they are never answered.
     void loseAnswersOf(const std::string &host)
     {
         std::erase_if(m_waiting, [&host](const Watch &watch) { return watch.host == host; });
@@ -99,7 +99,7 @@
     {
         m_content = m_copy;
         ++m_epoch;
-        boost::asio::post(m_context, [this] { look(); });
+        boost::asio::post(m_context, [this] { answerDue(); });
     }
 
     bool holds(const std::string &kind, const std::string &name) const
@@ -139,7 +139,7 @@
             m_content.objects[kind][change.object.name] = change.object;
         }
         m_content.history.emplace_back(kind, std::move(change));
-        boost::asio::post(m_context, [this] { look(); });
+        boost::asio::post(m_context, [this] { answerDue(); });
     }
 
     void list(const std::string &host, const std::string &kind, const ListHandler &handler)
@@ -178,7 +178,7 @@
         return true;
     }
 
-    // Revisions within one epoch.
+    // The revisions are relative to one epoch.
     struct Content {
         std::map<std::string, std::map<std::string, CollectedObject>> objects;
         std::vector<std::pair<std::string, CollectionChange>> history;
@@ -201,8 +201,8 @@
     bool m_down = false;
 };
 
-// A zone of hosts before one store. Heartbeats are played by run(): each host now and then
-// tells a random other one what it announces.
+// A zone of hosts with one store. run() simulates heartbeats: at intervals each host sends the
+// version that it announces to another host at random.
 class StoreFleet
 {
 public:
@@ -242,7 +242,7 @@
         start(name);
     }
 
-    // A frozen host neither sends nor hears anything.
+    // A frozen host neither sends nor receives.
     void freeze(const std::string &name, bool frozen)
     {
         m_hosts.at(name)->frozen = frozen;
@@ -251,18 +251,18 @@
     void run(milliseconds duration)
     {
         for (const TimePoint end = Clock::now() + duration; Clock::now() < end;) {
-            turn();
+            step();
         }
     }
 
-    // Generous: it only decides how long a broken test takes to fail.
+    // The default bound only decides how long a broken test takes to fail.
     bool runUntil(const std::function<bool()> &condition, milliseconds bound = milliseconds{30000})
     {
         for (const TimePoint end = Clock::now() + bound; Clock::now() < end;) {
             if (condition()) {
                 return true;
             }
-            turn();
+            step();
         }
         return condition();
     }
@@ -283,7 +283,7 @@
         return true;
     }
 
-    // Whether each host knows of that many upstreams.
+    // Whether each host has exactly that many upstreams.
     bool allKnowUpstreams(std::size_t count) const
     {
         return std::ranges::all_of(m_hosts, [count](const auto &entry) {
@@ -292,7 +292,7 @@
         });
     }
 
-    // How many hosts know an upstream of that name as one that leaves.
+    // The number of hosts that have the upstream of that name as leaving.
     std::size_t knowAsLeaving(const std::string &upstream) const
     {
         return static_cast<std::size_t>(std::ranges::count_if(m_hosts, [&upstream](const auto &entry) {
@@ -306,23 +306,24 @@
     boost::asio::io_context context{1};
     SharedStore store{context};
     std::uint64_t newest = 0;
-    // Of a hundred messages, how many are lost, and how many are held back for a while.
+    // The percentages of messages that are lost and that are delayed.
     int lossPercent = 0;
     int delayPercent = 0;
-    // Times a host went back to an older version within one process.
+    // How often a host returned to an older version within one process.
     int regressions = 0;
-    // The shortest time after a restore at which a host forgot an upstream, or that one leaves.
+    // The shortest time after a restore until a host removed an upstream, or no longer had it as
+    // leaving.
     milliseconds earliestLoss = milliseconds::max();
     std::size_t bytesSent = 0;
-    // What happens to each message on its way; for tests that damage them.
-    std::function<void(hop::HopMessage &)> onTheWay = [](hop::HopMessage &) {};
+    // Called for each message that is sent; tests use it to damage messages.
+    std::function<void(hop::HopMessage &)> onSend = [](hop::HopMessage &) {};
 
 private:
     struct Host {
         std::unique_ptr<DiscoveredConfiguration> source;
         std::uint64_t highest = 0;
         bool frozen = false;
-        // The epoch of its copy, and since when it has that.
+        // The epoch of the host's copy, and since when the host has it.
         std::uint64_t epoch = 0;
         TimePoint epochSince;
         std::size_t upstreams = 0;
@@ -345,7 +346,7 @@
         host.leaving = leaving;
     }
 
-    struct Held {
+    struct DelayedMessage {
         TimePoint at;
         std::string from;
         std::string to;
@@ -388,7 +389,7 @@
             noteLosses(*raw, *configuration);
         };
         hooks.send = [this, name](const std::string &to, hop::HopMessage message) { send(name, to, std::move(message)); };
-        hooks.someHosts = [this, name](std::size_t count) { return some(name, count); };
+        hooks.someHosts = [this, name](std::size_t count) { return randomOthers(name, count); };
         hooks.isWatcher = [] { return false; };
         hooks.zone = [this, name] { return zoneOf(name); };
         DiscoveryParts parts{store.sourceFor(name, "intent"), store.sourceFor(name, "registrations"), parseRegistration,
@@ -413,7 +414,7 @@
         return zone;
     }
 
-    std::vector<std::string> some(const std::string &self, std::size_t count)
+    std::vector<std::string> randomOthers(const std::string &self, std::size_t count)
     {
         std::vector<std::string> names = zoneOf(self).mates;
         std::shuffle(names.begin(), names.end(), m_random);
@@ -435,12 +436,12 @@
         if (chance(lossPercent)) {
             return;
         }
-        onTheWay(message);
+        onSend(message);
         const milliseconds held{chance(delayPercent) ? std::uniform_int_distribution<int>(1, 800)(m_random) : 0};
-        m_held.push_back({Clock::now() + held, from, to, std::move(message)});
+        m_delayed.push_back({Clock::now() + held, from, to, std::move(message)});
     }
 
-    void deliver(const Held &held)
+    void deliver(const DelayedMessage &held)
     {
         Host &to = *m_hosts.at(held.to);
         if (to.frozen) {
@@ -455,30 +456,30 @@
         }
     }
 
-    void turn()
+    void step()
     {
         context.restart();
         context.run_for(std::chrono::milliseconds(2));
-        store.look();
+        store.answerDue();
         const TimePoint now = Clock::now();
-        std::vector<Held> held = std::exchange(m_held, {});
-        for (Held &message : held) {
+        std::vector<DelayedMessage> held = std::exchange(m_delayed, {});
+        for (DelayedMessage &message : held) {
             if (message.at <= now) {
                 deliver(message);
             } else {
-                m_held.push_back(std::move(message));
+                m_delayed.push_back(std::move(message));
             }
         }
         if (now >= m_nextHeartbeats) {
             m_nextHeartbeats = now + milliseconds{200};
-            beat();
+            sendHeartbeats();
         }
     }
 
-    void beat()
+    void sendHeartbeats()
     {
         for (const auto &[name, host] : m_hosts) {
-            const std::vector<std::string> others = some(name, 1);
+            const std::vector<std::string> others = randomOthers(name, 1);
             const bool lost = host->frozen || others.empty() || chance(lossPercent) || m_hosts.at(others.front())->frozen;
             if (!lost) {
                 m_hosts.at(others.front())->source->heardOf(name, host->source->announced());
@@ -488,9 +489,9 @@
 
     std::mt19937_64 m_random;
     std::map<std::string, std::unique_ptr<Host>> m_hosts;
-    // Stopped, with calls to the store that may still be answered.
+    // Stopped hosts with calls to the store that may still be answered.
     std::vector<std::unique_ptr<Host>> m_retired;
-    std::vector<Held> m_held;
+    std::vector<DelayedMessage> m_delayed;
     TimePoint m_nextHeartbeats;
 };
 
