--- a/src/runtime/configuration/configurationsource.h
+++ b/src/runtime/configuration/configurationsource.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "egrettide/core/configuration.h"
-#include "egrettide/core/readerduty.h"
+#include "egrettide/core/readerselection.h"
 #include "wire/hopcodec.h"
 
 #include <cstdint>
--- a/src/runtime/configuration/discoveredconfiguration.h
+++ b/src/runtime/configuration/discoveredconfiguration.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "egrettide/core/catalogversion.h"
-#include "egrettide/core/readerduty.h"
+#include "egrettide/core/readerselection.h"
 #include "egrettide/core/upstreamsuccession.h"
 #include "runtime/configuration/catalogtexts.h"
 #include "runtime/configuration/collection.h"
--- a/tests/runtime/configurationkeeper_test.cpp
+++ b/tests/runtime/configurationkeeper_test.cpp
@@ -139,7 +139,7 @@
     platform.setDown(true);
     add("fresh", false);
     hosts.at("fresh").keeper->start();
-    hosts.at("fresh").keeper->heardOf("a", {version, 0});
+    hosts.at("fresh").keeper->noteKnownVersion("a", {version, 0});
     BOOST_TEST(allAt(version), "the fresh host stayed without a configuration");
 }
 
@@ -149,7 +149,7 @@
     // reach an upstream that is leaving according to a peer's newer value and was to be empty.
     add("fresh", false);
     const std::uint64_t oldVersion = platform.put(std::string(ConfigurationKey), objectWithReplicaWait(10, "one"));
-    hosts.at("fresh").keeper->heardOf("peer", {oldVersion + 1, 0});
+    hosts.at("fresh").keeper->noteKnownVersion("peer", {oldVersion + 1, 0});
     hosts.at("fresh").keeper->onPush("lagging", hop::ConfigPush{oldVersion, objectWithReplicaWait(10, "one").dump()});
     BOOST_TEST(versionAt("fresh") == 0U, "an old value was put in force though a peer reported a newer one");
     hosts.at("fresh").keeper->onPush("peer", hop::ConfigPush{oldVersion + 1, objectWithReplicaWait(20, "two").dump()});
--- a/tests/runtime/discoveredconfiguration_test.cpp
+++ b/tests/runtime/discoveredconfiguration_test.cpp
@@ -168,7 +168,7 @@
     source.start();
     context.run_until(Clock::now() + milliseconds{100});
     BOOST_TEST_REQUIRE(source.current() != nullptr);
-    source.heardOf("other", CatalogVersion{100, 0});
+    source.noteKnownVersion("other", CatalogVersion{100, 0});
     for (const TimePoint end = Clock::now() + milliseconds{10000}; requests < 3 && Clock::now() < end;) {
         context.run_for(std::chrono::milliseconds(10));
     }
--- a/tests/runtime/storefleet.h
+++ b/tests/runtime/storefleet.h
@@ -390,7 +390,7 @@
         };
         hooks.send = [this, name](const std::string &to, hop::HopMessage message) { send(name, to, std::move(message)); };
         hooks.someHosts = [this, name](std::size_t count) { return randomOthers(name, count); };
-        hooks.isWatcher = [] { return false; };
+        hooks.isStoreReader = [] { return false; };
         hooks.zone = [this, name] { return zoneOf(name); };
         DiscoveryParts parts{store.sourceFor(name, "intent"), store.sourceFor(name, "registrations"), parseRegistration,
                              translate};
@@ -482,7 +482,7 @@
             const std::vector<std::string> others = randomOthers(name, 1);
             const bool lost = host->frozen || others.empty() || chance(lossPercent) || m_hosts.at(others.front())->frozen;
             if (!lost) {
-                m_hosts.at(others.front())->source->heardOf(name, host->source->announced());
+                m_hosts.at(others.front())->source->noteKnownVersion(name, host->source->announced());
             }
         }
     }
