--- a/src/runtime/configuration/catalogtexts.cpp
+++ b/src/runtime/configuration/catalogtexts.cpp
@@ -68,7 +68,7 @@
     push.digest = digest();
     const std::string *base = textOf(heldDigest);
     push.baseDigest = base != nullptr ? heldDigest : 0;
-    push.difference = differenceFrom(base != nullptr ? *base : std::string_view(), m_entries.front().text);
+    push.difference = makeDifference(base != nullptr ? *base : std::string_view(), m_entries.front().text);
     return push;
 }
 
@@ -80,7 +80,7 @@
                                     "The difference is based on a text that this host does not hold; request the whole.",
                                     milliseconds{0}});
     }
-    return textFrom(base != nullptr ? *base : std::string_view(), push.difference, push.digest);
+    return applyDifference(base != nullptr ? *base : std::string_view(), push.difference, push.digest);
 }
 
 } // namespace egrettide
--- a/src/runtime/configuration/configurationkeeper.cpp
+++ b/src/runtime/configuration/configurationkeeper.cpp
@@ -59,7 +59,7 @@
             return;
         }
         putInForce();
-        if (m_hooks.isWatcher()) {
+        if (m_hooks.isStoreReader()) {
             watch();
         } else if (m_state.version() == 0 || m_state.isBehind()) {
             fetch();
@@ -136,7 +136,6 @@
 // The first configuration of a new host. A host that is replaced may read an old value from a
 // store that lags, become home of an upstream that is leaving, and admit new work to it. A peer's
 // report contains the highest known version, so an old value is recognized.
-// been heard tells the highest version known, so an old value is seen as such.
 void ConfigurationKeeper::putInForce()
 {
     if (m_inForce || !mayPutInForce()) {
@@ -160,9 +159,9 @@
     }
 }
 
-void ConfigurationKeeper::heardOf(const std::string &host, const CatalogVersion &version)
+void ConfigurationKeeper::noteKnownVersion(const std::string &host, const CatalogVersion &version)
 {
-    m_state.heardOf(version.intent);
+    m_state.noteKnownVersion(version.intent);
     m_peerHeard = true;
     putInForce();
     const TimePoint now = Clock::now();
@@ -175,7 +174,7 @@
 
 void ConfigurationKeeper::onOffer(const std::string &from, const hop::ConfigOffer &offer)
 {
-    heardOf(from, {offer.version, 0});
+    noteKnownVersion(from, {offer.version, 0});
 }
 
 void ConfigurationKeeper::onPull(const std::string &from, const hop::ConfigPull &pull)
--- a/src/runtime/configuration/configurationkeeper.h
+++ b/src/runtime/configuration/configurationkeeper.h
@@ -35,7 +35,7 @@
     void onOffer(const std::string &from, const hop::ConfigOffer &offer) override;
     void onPull(const std::string &from, const hop::ConfigPull &pull) override;
     void onPush(const std::string &from, const hop::ConfigPush &push) override;
-    void heardOf(const std::string &host, const CatalogVersion &version) override;
+    void noteKnownVersion(const std::string &host, const CatalogVersion &version) override;
 
     // The configuration in force; null while this host has none, and after a start while it can't
     // determine whether the one it read is the newest.
--- a/src/runtime/configuration/configurationsource.h
+++ b/src/runtime/configuration/configurationsource.h
@@ -34,13 +34,13 @@
     // Up to `count` live hosts other than this one, in random order.
     std::function<std::vector<std::string>(std::size_t count)> someHosts;
     // True when this host holds its zone's watch on the store.
-    std::function<bool()> isWatcher;
+    std::function<bool()> isStoreReader;
     std::function<ZoneHosts()> zone{};
     // The store was restored from an older copy; what this host wrote there may be lost.
     std::function<void()> storeRestored = [] {};
     // Not hooks: how the hosts of a zone share the reading of the store, and the rate in bytes
     // per second that bulk transfers may use of this host's link, 0 for no limit.
-    ReaderDutyOptions reader{};
+    ReaderSelectionOptions reader{};
     std::uint64_t bulkBytesPerSecond = 0;
 };
 
@@ -74,7 +74,7 @@
     {
     }
     // A heartbeat reported that `host` announces `version`; see announced().
-    virtual void heardOf(const std::string &host, const CatalogVersion &version) = 0;
+    virtual void noteKnownVersion(const std::string &host, const CatalogVersion &version) = 0;
 
     // The configuration in force; null while there is none.
     virtual std::shared_ptr<const Configuration> current() const = 0;
--- a/src/runtime/configuration/discoveredconfiguration.cpp
+++ b/src/runtime/configuration/discoveredconfiguration.cpp
@@ -271,7 +271,7 @@
         log::info("configuration_accepted",
                   {{"version", next.version}, {"routes", static_cast<int>(next.routes.size())}, {"source", m_intentSource}});
     }
-    for (const SupersededUpstream &old : m_succession.settle(next)) {
+    for (const SupersededUpstream &old : m_succession.removeSuperseded(next)) {
         log::info("upstream_superseded", {{"upstream", old.name}, {"address", old.address}, {"by", old.successor}});
     }
     m_current = std::make_shared<const Configuration>(std::move(next));
--- a/src/runtime/configuration/discoveredconfiguration.h
+++ b/src/runtime/configuration/discoveredconfiguration.h
@@ -73,7 +73,7 @@
     void onCatalogOffer(const std::string &from, const hop::CatalogOffer &offer) override;
     void onCatalogPull(const std::string &from, const hop::CatalogPull &pull) override;
     void onCatalogPush(const std::string &from, const hop::CatalogPush &push) override;
-    void heardOf(const std::string &host, const CatalogVersion &version) override;
+    void noteKnownVersion(const std::string &host, const CatalogVersion &version) override;
     std::shared_ptr<const Configuration> current() const override;
     CatalogVersion announced() const override;
     std::uint64_t storeEpoch() const override;
@@ -117,7 +117,7 @@
     Timer m_lapseTimer;
     Timer m_roleTimer;
     Timer m_pushTimer;
-    ReaderDuty m_duty;
+    ReaderSelection m_duty;
     // Whether this host followed the store at the last check.
     bool m_isReader = false;
     CatalogTexts m_texts;
--- a/src/runtime/configuration/discoveredsharing.cpp
+++ b/src/runtime/configuration/discoveredsharing.cpp
@@ -58,15 +58,15 @@
         m_zoneReader = zone.candidates.empty() ? std::string() : zone.candidates.front();
         m_duty.onCandidates(std::move(zone.candidates));
     }
-    m_duty.onReach(m_intentFollower.isReached() && m_registrationFollower.isReached());
-    if (m_duty.reads(now) != m_isReader) {
+    m_duty.onStoreReachable(m_intentFollower.isReached() && m_registrationFollower.isReached());
+    if (m_duty.isReader(now) != m_isReader) {
         m_isReader = !m_isReader;
         log::info("store_reader", {{"reads", m_isReader}});
         m_behindSince.reset();
         m_intentFollower.setWaiting(m_isReader);
         m_registrationFollower.setWaiting(m_isReader);
     }
-    if (const auto next = m_duty.handsOverTo(now)) {
+    if (const auto next = m_duty.handOverTarget(now)) {
         m_hooks.send(*next, hop::CatalogOffer{version(), false});
     }
     // Announcements and answers can be lost, so a host that is behind does not wait for another
@@ -150,7 +150,7 @@
     }
 }
 
-void DiscoveredConfiguration::heardOf(const std::string &host, const CatalogVersion &version)
+void DiscoveredConfiguration::noteKnownVersion(const std::string &host, const CatalogVersion &version)
 {
     onVersionReported(host, version);
 }
