--- a/src/runtime/operators/hostmetrics.cpp
+++ b/src/runtime/operators/hostmetrics.cpp
@@ -1,4 +1,4 @@
-// The metrics of one host.
+// Records the metrics of one host in sharded registries and renders them.
 
 #include "runtime/operators/hostmetrics.h"
 
@@ -35,16 +35,16 @@
     }
 }
 
-HostMetrics::Shard &HostMetrics::ownShard()
+HostMetrics::Shard &HostMetrics::threadShard()
 {
     static std::atomic<std::size_t> threads{0};
-    thread_local const std::size_t number = threads.fetch_add(1);
-    return *m_shards[number % m_shards.size()];
+    thread_local const std::size_t threadIndex = threads.fetch_add(1);
+    return *m_shards[threadIndex % m_shards.size()];
 }
 
 void HostMetrics::observe(const RequestObservation &observation)
 {
-    Shard &shard = ownShard();
+    Shard &shard = threadShard();
     const std::lock_guard<std::mutex> lock(shard.mutex);
     MetricsRegistry &registry = shard.registry;
     registry
--- a/src/runtime/operators/hostmetrics.h
+++ b/src/runtime/operators/hostmetrics.h
@@ -1,5 +1,5 @@
-// The metrics of one host: a registry for each thread that records, merged when
-// somebody scrapes.
+// The metrics of one host: registries sharded by recording thread, merged on each
+// scrape.
 
 #pragma once
 
@@ -29,12 +29,12 @@
     std::string render(const MetricsRegistry &gauges) const;
 
 private:
-    // Threads share shards by number, so a lock is almost never waited for.
+    // Each thread is assigned one shard by its index, so lock contention is rare.
     struct Shard {
         mutable std::mutex mutex;
         MetricsRegistry registry;
     };
-    Shard &ownShard();
+    Shard &threadShard();
 
     std::vector<std::unique_ptr<Shard>> m_shards;
 };
--- a/src/runtime/operators/hoststatus.cpp
+++ b/src/runtime/operators/hoststatus.cpp
@@ -1,4 +1,4 @@
-// What operators see of one host.
+// Builds the status document of one host and its metrics for operators.
 
 #include "runtime/operators/hoststatus.h"
 
--- a/src/runtime/operators/hoststatus.h
+++ b/src/runtime/operators/hoststatus.h
@@ -1,4 +1,4 @@
-// What operators see of one host: the status document and the gauges.
+// The status document of one host and its counters and gauges, for operators.
 
 #pragma once
 
@@ -23,8 +23,8 @@
     bool leaving = false;
 };
 
-// The answer to GET /status: this host, all hosts it knows, and the groups whose
-// members it probes. `configuration` may be null.
+// The answer to GET /status: this host, all hosts in its membership view, and the
+// groups whose members it probes. `configuration` may be null.
 nlohmann::json statusDocument(const HostIdentity &self, const MembershipView &view, const Configuration *configuration,
                               const HomeService &homes);
 
--- a/src/runtime/operators/operatorcommands.cpp
+++ b/src/runtime/operators/operatorcommands.cpp
@@ -1,4 +1,5 @@
-// The operators' commands over the store client and the hosts' operators' endpoint.
+// Implements the operators' commands with the store client and the hosts' HTTP
+// endpoints for operators.
 
 #include "runtime/operators/operatorcommands.h"
 
@@ -30,9 +31,9 @@
 namespace
 {
 
-// Switchovers wait for open transactions; the host answers within a minute.
+// A switchover waits for open transactions; the host answers within 60 s.
 constexpr milliseconds SwitchoverTimeout{60000};
-constexpr milliseconds StatusPause{200};
+constexpr milliseconds StatusPollInterval{200};
 
 template <typename Result> using Checked = tl::expected<Result, CommandResult>;
 
@@ -46,7 +47,7 @@
     return {code, {}, complaint + '\n'};
 }
 
-CommandResult missing(const char *option)
+CommandResult missingOption(const char *option)
 {
     return failed(ExitCode::Usage, std::string("This command needs ") + option + " IP:PORT.");
 }
@@ -66,11 +67,11 @@
     if (configuration) {
         return std::move(*configuration);
     }
-    CommandResult refusal{ExitCode::Refused, {}, {}};
+    CommandResult result{ExitCode::Refused, {}, {}};
     for (const Error &fault : configuration.error()) {
-        refusal.complaint += fault.message + '\n';
+        result.complaint += fault.message + '\n';
     }
-    return tl::make_unexpected(std::move(refusal));
+    return tl::make_unexpected(std::move(result));
 }
 
 tl::expected<VersionedObject, StoreError> readObject(const boost::asio::ip::tcp::endpoint &platform, TimePoint deadline)
@@ -85,7 +86,7 @@
     return std::move(*result);
 }
 
-// What the store holds; an empty configuration of version 0 when it holds none.
+// Reads the configuration from the store; an empty one of version 0 if there is none.
 Checked<Configuration> stored(const boost::asio::ip::tcp::endpoint &platform, TimePoint deadline)
 {
     const auto object = readObject(platform, deadline);
@@ -102,7 +103,8 @@
     return std::move(*configuration);
 }
 
-tl::expected<HttpAnswer, HttpFailure> ask(const boost::asio::ip::tcp::endpoint &host, const HttpCall &call, TimePoint deadline)
+tl::expected<HttpAnswer, HttpFailure> callHost(const boost::asio::ip::tcp::endpoint &host, const HttpCall &call,
+                                               TimePoint deadline)
 {
     boost::asio::io_context context;
     HttpClient client(context, host);
@@ -121,7 +123,7 @@
     return text.str();
 }
 
-CommandResult hostSilent(const boost::asio::ip::tcp::endpoint &host, const HttpFailure &failure)
+CommandResult hostUnreachable(const boost::asio::ip::tcp::endpoint &host, const HttpFailure &failure)
 {
     return failed(ExitCode::Unreachable,
                   "The host at " + textOf(host) + " did not answer (" + failure.reason
@@ -130,9 +132,9 @@
 
 Checked<json> hostStatus(const boost::asio::ip::tcp::endpoint &host, TimePoint deadline)
 {
-    const auto answer = ask(host, {http::verb::get, "/status", {}}, deadline);
+    const auto answer = callHost(host, {http::verb::get, "/status", {}}, deadline);
     if (!answer) {
-        return tl::make_unexpected(hostSilent(host, answer.error()));
+        return tl::make_unexpected(hostUnreachable(host, answer.error()));
     }
     json document = json::parse(answer->body, nullptr, false);
     if (answer->status != http::status::ok || !document.is_object()) {
@@ -142,15 +144,16 @@
     return document;
 }
 
-// A text field of an answer, empty when it is missing or no text: what answers may
-// be any program, and json::value throws at a field of another type.
+// Returns a string field of an answer, or an empty string if the field is missing or
+// has another type. The answer may come from any program, and json::value throws on a
+// type mismatch.
 std::string textIn(const json &document, const char *field)
 {
     const auto value = document.find(field);
     return value != document.end() && value->is_string() ? value->get<std::string>() : std::string();
 }
 
-// What a host's answer to a command means.
+// Converts a host's answer to a command into the command's result.
 CommandResult commandResult(const boost::asio::ip::tcp::endpoint &host, const tl::expected<HttpAnswer, HttpFailure> &answer,
                             const std::string &success)
 {
@@ -159,7 +162,7 @@
                       "The answer of the host at " + textOf(host) + " was lost; look at status before you repeat the command.");
     }
     if (!answer) {
-        return hostSilent(host, answer.error());
+        return hostUnreachable(host, answer.error());
     }
     if (http::to_status_class(answer->status) == http::status_class::successful) {
         return done(success + '\n');
@@ -173,7 +176,7 @@
     return failed(unknown ? ExitCode::UnknownOutcome : ExitCode::Refused, message);
 }
 
-// 128 random bits: no two attempts of any operators share an id.
+// 128 random bits, so that ids of different apply attempts do not collide.
 std::string newApplyId()
 {
     std::random_device device;
@@ -266,7 +269,7 @@
 CommandResult OperatorCommands::diff(const std::string &text) const
 {
     if (!m_settings.platform) {
-        return missing("--platform");
+        return missingOption("--platform");
     }
     const auto configuration = parsed(text);
     if (!configuration) {
@@ -287,7 +290,7 @@
 CommandResult OperatorCommands::apply(const std::string &text, std::optional<std::uint64_t> ifVersion) const
 {
     if (!m_settings.platform) {
-        return missing("--platform");
+        return missingOption("--platform");
     }
     const auto configuration = parsed(text);
     return configuration ? applyConfiguration(*configuration, ifVersion) : configuration.error();
@@ -307,12 +310,12 @@
     return applyResult(*finished);
 }
 
-CommandResult OperatorCommands::status(bool asJson, milliseconds patience) const
+CommandResult OperatorCommands::status(bool asJson, milliseconds maxWait) const
 {
     if (!m_settings.host) {
-        return missing("--operator");
+        return missingOption("--operator");
     }
-    const TimePoint patienceEnds = Clock::now() + patience;
+    const TimePoint waitEnds = Clock::now() + maxWait;
     while (true) {
         const auto document = hostStatus(*m_settings.host, deadline());
         if (!document) {
@@ -323,18 +326,18 @@
             addStore(report, readObject(*m_settings.platform, deadline()));
         }
         const bool agreed = verdictOf(report) == StatusVerdict::Agreed;
-        if (agreed || Clock::now() >= patienceEnds) {
+        if (agreed || Clock::now() >= waitEnds) {
             const ExitCode code = agreed ? ExitCode::Done : ExitCode::Refused;
             return {code, asJson ? toJson(report).dump(2) + '\n' : toText(report), {}};
         }
-        std::this_thread::sleep_for(StatusPause);
+        std::this_thread::sleep_for(StatusPollInterval);
     }
 }
 
 CommandResult OperatorCommands::drain(const std::string &name) const
 {
     if (!m_settings.platform && !m_settings.host) {
-        return missing("--platform (to drain an upstream) or --operator (to drain a host)");
+        return missingOption("--platform (to drain an upstream) or --operator (to drain a host)");
     }
     if (!m_settings.platform) {
         return drainHost(name);
@@ -363,7 +366,8 @@
             upstream.leaving = upstream.leaving || upstream.name == name;
         }
     }
-    // The result is a file like any other: draining the last one is refused.
+    // The changed configuration is validated like any file, so draining the last
+    // upstream of a database is refused.
     const auto checked = parsed(toJson(configuration).dump());
     return checked ? applyConfiguration(*checked, configuration.version) : checked.error();
 }
@@ -385,39 +389,39 @@
     if (!address) {
         return failed(ExitCode::Unreachable, "The operators' address of " + name + " is not known; give it as --operator.");
     }
-    const auto answer = ask(*address, {http::verb::post, "/drain", "{}"}, deadline());
+    const auto answer = callHost(*address, {http::verb::post, "/drain", "{}"}, deadline());
     return commandResult(*address, answer, "Host " + name + " is draining.");
 }
 
 CommandResult OperatorCommands::switchover(const std::string &database, const std::string &to) const
 {
     if (!m_settings.host) {
-        return missing("--operator");
+        return missingOption("--operator");
     }
     json body{{"database", database}};
     if (!to.empty()) {
         body["to"] = to;
     }
-    const auto answer = ask(*m_settings.host, {http::verb::post, "/switchover", body.dump()},
-                            Clock::now() + std::max(m_settings.timeout, SwitchoverTimeout));
+    const auto answer = callHost(*m_settings.host, {http::verb::post, "/switchover", body.dump()},
+                                 Clock::now() + std::max(m_settings.timeout, SwitchoverTimeout));
     return commandResult(*m_settings.host, answer, "Database " + database + " has a new primary.");
 }
 
 CommandResult OperatorCommands::explain(const std::string &requestId, const std::vector<std::string> &logs)
 {
-    LogStory story(requestId);
+    LogStory trace(requestId);
     for (const std::string &log : logs) {
         std::istringstream lines(log);
         for (std::string line; std::getline(lines, line);) {
-            story.take(line);
+            trace.take(line);
         }
     }
     CommandResult result;
-    result.output = story.tell();
-    if (story.skipped() > 0) {
-        result.complaint = std::to_string(story.skipped()) + " lines are no log lines and were skipped\n";
+    result.output = trace.tell();
+    if (trace.skipped() > 0) {
+        result.complaint = std::to_string(trace.skipped()) + " lines are not log lines and were skipped\n";
     }
-    if (!story.found()) {
+    if (!trace.found()) {
         result.code = ExitCode::Refused;
         result.complaint += "no line is about request " + requestId
             + "; give the logs of all hosts of that time, and look for failures_not_logged and lines_dropped in them\n";
--- a/src/runtime/operators/operatorcommands.h
+++ b/src/runtime/operators/operatorcommands.h
@@ -1,5 +1,5 @@
-// What egrettidectl does, apart from reading its command line: each command runs
-// to its end and says what came of it, in text and as an exit code.
+// The commands of egrettidectl, apart from command line parsing. Each command runs to
+// completion and returns its result as text and as an exit code.
 
 #pragma once
 
@@ -19,7 +19,7 @@
 namespace egrettide
 {
 
-// Stable, so that scripts can rely on them; --help lists them.
+// The values are stable, so that scripts can rely on them; --help lists them.
 enum class ExitCode {
     Done = 0,
     // Refused or invalid; nothing changed. For status: not every host agrees.
@@ -30,57 +30,58 @@
     Unreachable = 5,
 };
 
-// The meaning of an exit code in a few words.
+// A short description of an exit code, as --help prints it.
 std::string meaningOf(ExitCode code);
 
 struct CommandResult {
     ExitCode code = ExitCode::Done;
-    // What was asked for; for the standard output. Ends in a newline or is empty.
+    // The requested information, for standard output. Ends in a newline or is empty.
     std::string output;
-    // What went wrong and what to do; for the standard error.
+    // The error and its remedy, for standard error.
     std::string complaint;
 };
 
 struct OperatorSettings {
-    // The platform's store.
+    // The address of the platform's store.
     std::optional<boost::asio::ip::tcp::endpoint> platform;
-    // Any host's operators' endpoint.
+    // The address of any host's HTTP endpoint for operators.
     std::optional<boost::asio::ip::tcp::endpoint> host;
-    // How long one command may take in all.
+    // The maximum duration of one call to the store or a host; a command may make several.
     milliseconds timeout{10000};
-    // Recorded with an accepted file, for the loser of a race to talk to.
+    // The operator's name, recorded with an accepted file so that an operator whose
+    // concurrent apply is refused can see who made the other change.
     std::string who;
 };
 
-// The commands. Each call blocks until it is done, at most for the timeout, on an
-// io_context of its own.
+// The commands. Each call blocks until it completes and runs its network calls on
+// io_contexts of its own; each network call is bounded by the timeout.
 class OperatorCommands
 {
 public:
     explicit OperatorCommands(OperatorSettings settings);
 
-    // Checks a file's text and prints all faults and warnings.
+    // Validates the text of a file and prints all errors, or a summary with all warnings.
     CommandResult validate(const std::string &text) const;
 
-    // Prints what applying the file would change, and the version to name.
+    // Prints what applying the file would change, and the version to pass to apply.
     CommandResult diff(const std::string &text) const;
 
     // Applies the whole file; with `ifVersion`, only over that version.
     CommandResult apply(const std::string &text, std::optional<std::uint64_t> ifVersion) const;
 
-    // Tells whether every host has the last accepted file in force. Asks again
-    // until they all have or `patience` is over.
-    CommandResult status(bool asJson, milliseconds patience) const;
+    // Reports whether every host has the last accepted file in force. Polls until
+    // all hosts have it or `maxWait` has passed.
+    CommandResult status(bool asJson, milliseconds maxWait) const;
 
-    // Drains the upstream (by applying the file in force with it leaving) or the
-    // host of that name.
+    // Drains the upstream of that name, by applying the configuration in force with
+    // the upstream marked as leaving, or the host of that name.
     CommandResult drain(const std::string &name) const;
 
-    // Makes `to`, or the best replica when it is empty, the database's primary.
+    // Makes `to` the database's primary, or the best replica if `to` is empty.
     CommandResult switchover(const std::string &database, const std::string &to) const;
 
-    // Tells the story of a request out of hosts' log lines, of which each text holds any
-    // number; needs neither host nor platform.
+    // Reconstructs how a request was handled from the log lines of hosts. Each text
+    // holds any number of lines. Needs neither host nor platform.
     static CommandResult explain(const std::string &requestId, const std::vector<std::string> &logs);
 
 private:
--- a/src/runtime/operators/operatorserver.cpp
+++ b/src/runtime/operators/operatorserver.cpp
@@ -1,4 +1,4 @@
-// The operators' HTTP endpoint, by Boost.Beast.
+// Implements the HTTP endpoint for operators with Boost.Beast.
 
 #include "runtime/operators/operatorserver.h"
 
@@ -19,10 +19,10 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 
-// A request that takes longer to arrive is dropped, so that half-open
-// connections cannot pile up.
+// A request that takes longer to arrive is dropped, so that half-open connections
+// do not accumulate.
 constexpr std::chrono::seconds requestTimeout{10};
-// Switchovers wait for open transactions, so answers may take longer.
+// A switchover waits for open transactions, so an answer may take longer.
 constexpr std::chrono::seconds answerTimeout{60};
 
 class Exchange : public std::enable_shared_from_this<Exchange>
@@ -70,7 +70,7 @@
     beast::flat_buffer m_buffer;
     http::request<http::string_body> m_request;
     http::response<http::string_body> m_response;
-    // Copied: the server may be gone before the last exchange ends.
+    // A copy, because the server may be destroyed before the last exchange ends.
     OperatorHandler m_handler;
 };
 
@@ -105,8 +105,8 @@
         return m_acceptor.local_endpoint().port();
     }
 
-    // The acceptor belongs to its context's thread, and stop may be called from
-    // another: closing it here would race with an accept.
+    // Closes the acceptor on its context's thread: stop may be called from another
+    // thread, and closing directly would race with an accept.
     void stop()
     {
         asio::post(m_acceptor.get_executor(), [self = shared_from_this()] {
--- a/src/runtime/operators/operatorserver.h
+++ b/src/runtime/operators/operatorserver.h
@@ -1,5 +1,5 @@
-// The operators' HTTP endpoint of one host: metrics, health, status, and the few
-// commands that egrettidectl sends. One request a connection; bodies are small.
+// The HTTP endpoint of one host for operators: metrics, health, status, and the
+// commands that egrettidectl sends. Serves one request per connection; bodies are small.
 
 #pragma once
 
@@ -28,7 +28,8 @@
 };
 
 using OperatorResponder = std::function<void(OperatorResponse)>;
-// Answers one request, now or later, exactly once, from any thread.
+// Answers one request by calling the responder exactly once, immediately or later, from
+// any thread.
 using OperatorHandler = std::function<void(OperatorRequest, OperatorResponder)>;
 
 class OperatorServer
@@ -40,10 +41,11 @@
     OperatorServer(const OperatorServer &) = delete;
     OperatorServer &operator=(const OperatorServer &) = delete;
 
-    // Listens on "IP:port"; port 0 takes a free one. Returns the port bound, or
-    // an InvalidInput error that names the address.
+    // Listens on "IP:port"; port 0 selects a free port. Returns the bound port, or an
+    // InvalidInput error that names the address.
     tl::expected<unsigned short, Error> listen(const std::string &address);
-    // Stops listening, soon; from any thread. Exchanges in progress go on.
+    // Stops listening asynchronously; may be called from any thread. Exchanges in
+    // progress are completed.
     void stop();
 
 private:
--- a/src/runtime/operators/operatorstatus.cpp
+++ b/src/runtime/operators/operatorstatus.cpp
@@ -1,4 +1,4 @@
-// Compares hosts with the last accepted file.
+// Compares the configuration versions of hosts with the last accepted file.
 
 #include "runtime/operators/operatorstatus.h"
 
@@ -55,7 +55,7 @@
     return entries;
 }
 
-std::uint64_t wantedVersion(const StatusReport &report)
+std::uint64_t expectedVersion(const StatusReport &report)
 {
     std::uint64_t newest = 0;
     for (const HostStatus &host : report.hosts) {
@@ -108,7 +108,8 @@
     report.answeredBy = textOf(document, "host");
     report.hosts = listOf(document, "hosts", hostOf);
     report.groups = listOf(document, "groups", groupOf);
-    // The host knows itself best, whether or not it lists itself.
+    // The host's own fields take precedence over its entry in the list, which may be
+    // missing.
     const auto self = std::find_if(report.hosts.begin(), report.hosts.end(),
                                    [&report](const HostStatus &host) { return host.name == report.answeredBy; });
     if (self == report.hosts.end()) {
@@ -135,10 +136,10 @@
 
 std::vector<HostStatus> differingHosts(const StatusReport &report)
 {
-    const std::uint64_t wanted = wantedVersion(report);
+    const std::uint64_t expected = expectedVersion(report);
     std::vector<HostStatus> differing;
     std::copy_if(report.hosts.begin(), report.hosts.end(), std::back_inserter(differing),
-                 [wanted](const HostStatus &host) { return host.counts() && host.configurationVersion != wanted; });
+                 [expected](const HostStatus &host) { return host.counts() && host.configurationVersion != expected; });
     return differing;
 }
 
@@ -159,9 +160,9 @@
     } else {
         text << "Last accepted version: unknown (" << report.storeProblem << ")\n";
     }
-    const std::uint64_t wanted = wantedVersion(report);
+    const std::uint64_t expected = expectedVersion(report);
     for (const HostStatus &host : report.hosts) {
-        const bool differs = host.counts() && host.configurationVersion != wanted;
+        const bool differs = host.counts() && host.configurationVersion != expected;
         text << "host " << host.name << " zone " << host.zone << ' ' << host.state << " version " << host.configurationVersion
              << (differs ? "  DIFFERS" : "") << '\n';
     }
--- a/src/runtime/operators/operatorstatus.h
+++ b/src/runtime/operators/operatorstatus.h
@@ -1,5 +1,5 @@
-// The answer to "is it as the last accepted file says, on every host?", made from
-// one host's status document and the store's version.
+// Reports whether every host has the last accepted file in force, from one host's
+// status document and the version in the store.
 
 #pragma once
 
@@ -24,7 +24,8 @@
     std::string operatorAddress;
     std::uint64_t configurationVersion = 0;
 
-    // A dead host serves nobody; all others have to agree.
+    // Whether the host is included in the comparison. A dead host serves no callers;
+    // all others have to agree.
     bool counts() const
     {
         return state != "dead";
@@ -39,34 +40,34 @@
 };
 
 struct StatusReport {
-    // The host that was asked; the others are as it knows them from heartbeats,
-    // so they may be ahead of what it shows, and never behind but after a restart.
+    // The host that answered. It reports the other hosts from their heartbeats, so
+    // these may have newer versions than shown, but older ones only after a restart.
     std::string answeredBy;
     std::vector<HostStatus> hosts;
     std::vector<GroupStatus> groups;
-    // The last accepted version; unset when the store did not tell.
+    // The last accepted version; unset if it could not be read from the store.
     std::optional<std::uint64_t> storeVersion;
-    // Why it is unset.
+    // Why storeVersion is unset.
     std::string storeProblem = "no --platform was given";
 };
 
 enum class StatusVerdict {
-    // Every host that counts has the last accepted file in force.
+    // Every host that is not dead has the last accepted file in force.
     Agreed,
-    // Some host differs.
+    // At least one host that is not dead has another version in force.
     Differs,
-    // The store did not tell what the last accepted file is.
+    // All hosts agree, but the last accepted version could not be read from the store.
     Unproven,
 };
 
-// Reads a host's GET /status document; unknown or missing fields are passed over.
+// Parses a host's GET /status document; ignores unknown and missing fields.
 StatusReport statusReport(const nlohmann::json &document);
 
-// Adds what the store said of the configuration object.
+// Adds the result of reading the configuration object from the store.
 void addStore(StatusReport &report, const tl::expected<VersionedObject, StoreError> &object);
 
-// The hosts that count and have another version in force than the last accepted
-// one; with no store, another than the newest that any host has.
+// The hosts that are not dead and have a version in force other than the last accepted
+// one or, if that is not known, other than the newest version of any host.
 std::vector<HostStatus> differingHosts(const StatusReport &report);
 
 StatusVerdict verdictOf(const StatusReport &report);
--- a/src/runtime/operators/servicerecord.cpp
+++ b/src/runtime/operators/servicerecord.cpp
@@ -1,4 +1,4 @@
-// Counts of a host's own callers, and the lines that tell them.
+// Counts the requests of one host's callers and logs the totals.
 
 #include "runtime/operators/servicerecord.h"
 
@@ -10,8 +10,8 @@
 namespace
 {
 
-// "floor 3, capacity 12"
-std::string describe(const std::map<std::string, std::uint64_t, std::less<>> &counts)
+// Formats counts as "capacity 12, floor 3".
+std::string formatCounts(const std::map<std::string, std::uint64_t, std::less<>> &counts)
 {
     std::string text;
     for (const auto &[name, count] : counts) {
@@ -35,7 +35,7 @@
 void ServiceRecord::observe(const RequestObservation &observation, TimePoint now)
 {
     const bool isRead = observation.kind == StatementKind::Read || observation.kind == StatementKind::BeginReadOnly;
-    const bool writes = observation.kind == StatementKind::Write || observation.kind == StatementKind::Begin;
+    const bool isWrite = observation.kind == StatementKind::Write || observation.kind == StatementKind::Begin;
     std::optional<WriteOutage> outage;
     {
         const std::scoped_lock lock(m_mutex);
@@ -47,10 +47,10 @@
         } else if (isRead) {
             ++m_readsByReplica;
         } else {
-            m_writes += writes ? 1 : 0;
+            m_writes += isWrite ? 1 : 0;
         }
-        if (writes) {
-            outage = m_gaps[observation.database].onWrite(!observation.error, now);
+        if (isWrite) {
+            outage = m_outages[observation.database].onWrite(!observation.error, now);
         }
     }
     if (outage) {
@@ -68,10 +68,10 @@
               {{"when", when},
                {"reads_by_replica", m_readsByReplica},
                {"reads_by_primary", sumOf(m_readsByPrimary)},
-               {"primary_reasons", describe(m_readsByPrimary)},
+               {"primary_reasons", formatCounts(m_readsByPrimary)},
                {"writes", m_writes},
                {"attempts", m_attempts},
-               {"failures", describe(m_failures)}});
+               {"failures", formatCounts(m_failures)}});
 }
 
 } // namespace egrettide
--- a/src/runtime/operators/servicerecord.h
+++ b/src/runtime/operators/servicerecord.h
@@ -1,5 +1,5 @@
-// The users' two measures, as one host's callers saw them: who served reads and why, and
-// how long databases could not be written to. Told in bounded lines of the log.
+// Service totals for the callers of one host: which role served reads and why, and for
+// how long databases were not writable. Written as a bounded number of log lines.
 
 #pragma once
 
@@ -25,22 +25,22 @@
     ServiceRecord(const ServiceRecord &) = delete;
     ServiceRecord &operator=(const ServiceRecord &) = delete;
 
-    // Counts one request of a caller; logs the end of an outage.
+    // Counts one request of a caller; logs the end of a write outage.
     void observe(const RequestObservation &observation, TimePoint now);
-    // One line of totals since the start; `when` is "running" or "stopping".
+    // Logs one line of totals since the start; `when` is "running" or "stopping".
     void log(std::string_view when) const;
 
 private:
     mutable std::mutex m_mutex;
     std::uint64_t m_readsByReplica = 0;
-    // By reason.
+    // Keyed by reason.
     std::map<std::string, std::uint64_t, std::less<>> m_readsByPrimary;
     std::uint64_t m_writes = 0;
     std::uint64_t m_attempts = 0;
-    // By kind of error.
+    // Keyed by the kind of error.
     std::map<std::string, std::uint64_t, std::less<>> m_failures;
-    // By database.
-    absl::flat_hash_map<std::string, WriteGap> m_gaps;
+    // Keyed by database.
+    absl::flat_hash_map<std::string, WriteGap> m_outages;
 };
 
 } // namespace egrettide
--- a/src/tools/egrettidectl.cpp
+++ b/src/tools/egrettidectl.cpp
@@ -1,4 +1,5 @@
-// The operators' tool: reads its command line, runs one command, prints.
+// egrettidectl, the command-line tool for operators: parses the command line, runs one
+// command and prints its result.
 
 #include "runtime/host/address.h"
 #include "runtime/operators/operatorcommands.h"
@@ -33,7 +34,7 @@
 status proves its answer only when it has both; explain needs neither.
 )";
 
-// A fault of the command line.
+// An error in the command line.
 class UsageError : public std::runtime_error
 {
 public:
@@ -54,7 +55,7 @@
         "explain: log lines of one host or several; may be given more than once");
     add("json", "status: print JSON");
     add("wait", options::value<double>()->default_value(0, "0")->value_name("SECONDS"),
-        "status: wait so long for all hosts to agree");
+        "status: maximum time to wait for all hosts to agree");
     add("help", "show this text");
     add("version", "show the version");
     return description;
@@ -122,7 +123,7 @@
 {
     std::ifstream stream(path);
     if (!stream) {
-        throw UsageError("cannot read " + path + "; check the path and its rights");
+        throw UsageError("cannot read " + path + "; check the path and its permissions");
     }
     return {std::istreambuf_iterator<char>(stream), {}};
 }
--- a/src/tools/egrettided.cpp
+++ b/src/tools/egrettided.cpp
@@ -24,7 +24,7 @@
 constexpr int exitFailed = 1;
 constexpr int exitUsage = 2;
 
-// The settings, or all faults of the file.
+// Returns the settings, or all errors in the file.
 tl::expected<egrettide::Settings, std::vector<std::string>> readSettings(const std::string &path)
 {
     std::ifstream file(path);
@@ -44,7 +44,7 @@
     return tl::unexpected(std::move(faults));
 }
 
-// A changed settings file is taken over as a whole; a bad one changes nothing.
+// Applies the changed settings file as a whole; an invalid file changes nothing.
 void reload(egrettide::HostDaemon &daemon, const std::string &path)
 {
     const auto settings = readSettings(path);
@@ -67,7 +67,7 @@
     });
 }
 
-// The first SIGTERM or SIGINT stops gracefully, the second at once.
+// The first SIGTERM or SIGINT starts a graceful stop; the second stops immediately.
 void armSignals(boost::asio::signal_set &signals, egrettide::HostDaemon &daemon, bool graceful)
 {
     signals.async_wait([&signals, &daemon, graceful](const boost::system::error_code &failure, int) {
@@ -87,7 +87,8 @@
 {
     namespace log = egrettide::log;
     log::open(settings.host, log::levelNamed(settings.logLevel));
-    // Signals are taken before other threads start, so that none is lost.
+    // The signal handlers are installed before other threads start, so that no signal is
+    // lost.
     boost::asio::io_context signalContext(1);
     boost::asio::signal_set signals(signalContext, SIGTERM, SIGINT);
     boost::asio::signal_set reloads(signalContext, SIGHUP);
