--- a/src/runtime/operators/operatorcommands.h
+++ b/src/runtime/operators/operatorcommands.h
@@ -46,7 +46,8 @@
     std::optional<boost::asio::ip::tcp::endpoint> platform;
     // The address of any host's HTTP endpoint for operators.
     std::optional<boost::asio::ip::tcp::endpoint> host;
-    // The maximum duration of one call to the store or a host; a command may make several.
+    // The maximum duration of each store read, apply or host call; a command may make
+    // several. A switchover may take longer, because it waits for open transactions.
     milliseconds timeout{10000};
     // The operator's name, recorded with an accepted file so that an operator whose
     // concurrent apply is refused can see who made the other change.
@@ -54,7 +55,7 @@
 };
 
 // The commands. Each call blocks until it completes and runs its network calls on
-// io_contexts of its own; each network call is bounded by the timeout.
+// io_contexts of its own; the timeout bounds each of these calls.
 class OperatorCommands
 {
 public:
--- a/tests/process/deployment_test.py
+++ b/tests/process/deployment_test.py
@@ -1,6 +1,6 @@
-"""Whole deployments of the real programs under failure: checked load from real
-drivers, one fault each, and no broken promise. Times of faults are not asserted;
-the load tool's checker compares every answer with what was written.
+"""Runs whole deployments of the real programs under checked load from real drivers,
+with one fault per test, and verifies every guarantee. The durations of faults are not
+asserted; the load tool's checker compares every answer with what was written.
 
   EGRETTIDE_BIN=build/dev python3 tests/process/deployment_test.py [Deployment.Case]
 """
@@ -18,11 +18,11 @@
 
 BINARIES = os.environ.get("EGRETTIDE_BIN", "build/dev")
 SECONDS = 6
-# Generous: sanitized programs on a busy machine.
+# Allows for sanitized programs on a busy machine.
 BOUND_S = 240
 SANITIZER_REPORT = re.compile(r"(Sanitizer|runtime error):.*")
-# A thread sanitizer's report of one race with both stacks has some 80 lines; the cause
-# stands in the stacks, and a report that happened once can't be asked for again.
+# A thread sanitizer's report of one race with both stacks has about 80 lines. The stacks
+# show the cause, and a report of a rare race may not be reproducible.
 REPORT_LINES = 200
 
 
@@ -70,17 +70,15 @@
         self.assertEqual(result["writes_not_done"], 0, f"a steady run refuses no write, but: {result['refusals']}")
 
     def test_SessionsThatMoveWithoutATokenReadTheirWrites(self):
-        # Symptom: a family books, is balanced to another host, and sees no booking.
-        # Sequence: write on one host; connect to another without a token; read at once.
-        # Cause: a replica behind the write would answer, since nothing told the new
-        # host what the session had seen.
+        # A session writes on one host, connects to another without a token and reads at
+        # once. If the new host does not have the session's floor, a replica behind the
+        # write answers, and the caller does not see its own booking.
         self.check(self.load(move_every=1, carry_token=0))
 
     def test_LosesNothingWhenThePrimaryIsKilled(self):
-        # Symptom: an acknowledged booking is gone after a failover.
-        # Sequence: the primary acknowledges, dies before its replicas have the entry,
-        # and a replica without it is promoted.
-        # Cause: acknowledging before a majority holds the commit.
+        # If a commit is acknowledged before a majority holds it, an acknowledged booking is
+        # lost in a failover: the primary crashes before its replicas have the entry, and a
+        # replica without it is promoted.
         load = self.load()
         time.sleep(SECONDS / 3)
         victim = self.site.primary_of("booking1")
@@ -89,10 +87,9 @@
         self.check(load)
 
     def test_AFrozenPrimaryThatWakesAcknowledgesNothing(self):
-        # Symptom: two callers hold the same pitch, each with an acknowledged booking.
-        # Sequence: the primary freezes, a successor is promoted, the old one wakes
-        # up and still believes that it leads.
-        # Cause: leadership by belief or by clock instead of by a majority's promise.
+        # The primary is suspended, a successor is promoted, and the old primary resumes and
+        # still acts as primary. If leadership rests on local state or a clock instead of the
+        # promises of a majority, two callers book the same pitch, both acknowledged.
         load = self.load()
         time.sleep(SECONDS / 3)
         victim = self.site.primary_of("booking1")
@@ -102,9 +99,8 @@
         self.check(load)
 
     def test_FailsOverWhileTheStoreIsOut(self):
-        # Symptom: writes stop for as long as the platform's store is out.
-        # Sequence: the store goes down, then the primary dies.
-        # Cause: a promotion that needs the store's word.
+        # The store goes down, then the primary crashes. If a promotion needs the store, writes
+        # stop until the platform's store is available again.
         load = self.load()
         self.site.faults(down=True)
         time.sleep(SECONDS / 3)
@@ -114,19 +110,17 @@
         self.check(load)
 
     def test_LosesNothingWhenAHostIsKilled(self):
-        # Symptom: a charge runs twice when the host that carried it dies.
-        # Sequence: a host dies with requests and transactions in progress; callers
-        # go on elsewhere.
-        # Cause: somebody sends again what had already left.
+        # A host crashes with requests and transactions in progress, and callers continue on
+        # other hosts. If a component resends a request that was already sent, a charge runs
+        # twice.
         load = self.load()
         time.sleep(SECONDS / 3)
         self.site.processes["host-a"].signal(signal.SIGKILL)
         self.check(load)
 
     def test_ADrainedHostCutsNoRequest(self):
-        # Symptom: a planned replacement of hosts shows up as failed bookings.
-        # Sequence: SIGTERM under load, with transactions open.
-        # Cause: closing connections before their requests are answered.
+        # If a host that receives SIGTERM under load, with transactions open, closes connections
+        # before their requests are answered, a planned replacement of hosts fails bookings.
         load = self.load()
         time.sleep(SECONDS / 3)
         drained = self.site.processes["host-b"]
@@ -138,9 +132,8 @@
         self.assertEqual(unknown, {}, "a planned stop leaves no outcome unknown")
 
     def test_APlannedChangeOfPrimaryFailsNoWrite(self):
-        # Symptom: maintenance of the primary shows up as refused bookings.
-        # Sequence: an operator moves the primary under load.
-        # Cause: promoting before writes are held back and the successor has them all.
+        # An operator moves the primary under load. If the successor is promoted before writes
+        # are held back and the successor has all of them, bookings are refused.
         load = self.load()
         time.sleep(SECONDS / 3)
         before = self.site.primary_of("booking1")
@@ -151,9 +144,9 @@
         self.assertEqual(result["writes_not_done"], 0, f"a planned change fails no write, but: {result['refusals']}")
 
     def test_AChangedSettingsFileIsTakenOverAndABadOneRefused(self):
-        # Symptom: a host ends when its settings file changes, or runs on with half of a bad one.
-        # Sequence: the file is changed and SIGHUP sent; then it is damaged and SIGHUP sent.
-        # Cause: nobody took the signal, or what was read was not checked as a whole.
+        # The file is changed and SIGHUP sent; then it is made invalid and SIGHUP sent. Without a
+        # handler the signal ends the host; without validation of the whole file, the host
+        # continues with parts of an invalid one.
         host = next(iter(self.site.hosts.values()))
         path = os.path.join(self.site.folder, host.process.name + ".json")
         with open(path) as file:
@@ -170,10 +163,10 @@
         self.assertTrue(host.ready(), "a host that refused a bad file no longer serves")
 
     def test_StatusSeesEachAcceptedFileOnEveryHost(self):
-        # Symptom: status says that hosts differ, long after the file is in force on all.
-        # Sequence: one file is applied, hosts settle, another one is applied.
-        # Cause: status shows a view of hosts that is renewed only when hosts come or go.
-        # For a while, since hosts that have just met renew their views all the time.
+        # One file is applied, the membership becomes stable, and another file is applied. If
+        # status shows a membership view that is renewed only when hosts join or leave, it
+        # reports differing hosts long after the file is in force on all. The test repeats this
+        # for SECONDS, because hosts that have just joined renew their views all the time.
         end = time.monotonic() + SECONDS
         priority = 0
         while time.monotonic() < end:
@@ -186,10 +179,10 @@
                 self.assertEqual(done.returncode, 0, f"{host.name} does not see the file everywhere: {done.stdout}{done.stderr}")
 
     def test_AnyHostTakesAPlannedChangeOfPrimary(self):
-        # Symptom: switchover without a successor is refused, though any host may be asked.
-        # Sequence: asked at a host that is not the home of the primary.
-        # Cause: the question is handed on with no successor, and the home takes none for a name.
-        # A host that knows no other one takes itself for everybody's home.
+        # A switchover without a successor is sent to a host that is not the home of the primary.
+        # If the host forwards it with an empty successor and the home treats that as a name, the
+        # switchover is refused, though any host should accept it.
+        # A host that has discovered no other host assumes that it is the home of all upstreams.
         lab.wait_for("hosts to know each other", self.hosts_acquainted, BOUND_S)
         for _ in range(3):
             before = lab.wait_for("one primary in all eyes", self.agreed_primary, BOUND_S)
@@ -207,7 +200,7 @@
         return True
 
     def agreed_primary(self):
-        """The primary that all hosts report as confirmed, at one term and with all members in reach; or None."""
+        """Returns the primary that all hosts report as confirmed, at one term and with all members reachable, or None."""
         seen = set()
         for host in self.site.hosts.values():
             for group in json.loads(lab.http("GET", host.operators, "/status")[1])["groups"]:
--- a/tests/process/egrettidectl_test.cpp
+++ b/tests/process/egrettidectl_test.cpp
@@ -1,5 +1,5 @@
-// The operators' tool as a program, against the platform stand-in as a program and
-// a scripted host: what it prints, what it changes, and its exit codes.
+// Runs egrettidectl against the platform stand-in, as separate processes, and a scripted
+// host; checks its output, its changes to the store and its exit codes.
 
 #define BOOST_TEST_MODULE Egrettidectl
 #include <boost/test/unit_test.hpp>
@@ -56,7 +56,7 @@
     return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-// What one run of the tool came to.
+// The result of one run of the tool.
 struct Run {
     int code = -1;
     std::string output;
@@ -103,7 +103,7 @@
     return *answer;
 }
 
-// The platform stand-in as a program.
+// The platform stand-in, run as a separate process.
 class Platform
 {
 public:
@@ -136,7 +136,7 @@
     process::child m_child;
 };
 
-// A host's operators' endpoint that answers from a script and remembers its calls.
+// A host's endpoint for operators that returns scripted answers and records its calls.
 class ScriptedHost
 {
 public:
@@ -203,7 +203,7 @@
             {"groups", {{{"database", "bookings"}, {"term", 4}, {"primary", "bookings-2"}, {"confirmed", true}}}}};
 }
 
-// A file that goes away with its test.
+// A file that is removed at the end of its test.
 class TemporaryFile
 {
 public:
@@ -230,7 +230,7 @@
     const Run run = ctl({"--help"});
     expectCode(run, 0);
     for (const char *word : {"validate", "diff", "apply", "status", "drain", "switchover", "  0  ", "  5  "}) {
-        BOOST_TEST(run.output.find(word) != std::string::npos, "--help does not tell of '" << word << "'");
+        BOOST_TEST(run.output.find(word) != std::string::npos, "--help does not list '" << word << "'");
     }
     BOOST_TEST(ctl({"--version"}).output.starts_with("egrettidectl "));
 }
@@ -252,7 +252,7 @@
     const Run run = ctl({"validate", file.path});
     expectCode(run, 1);
     for (const char *place : {"/databases/0/name: ", "/databases/0/upstreams: ", "'colour'"}) {
-        BOOST_TEST(run.complaint.find(place) != std::string::npos, "no word of " << place << " in:\n" << run.complaint);
+        BOOST_TEST(run.complaint.find(place) != std::string::npos, "no mention of " << place << " in:\n" << run.complaint);
     }
 }
 
@@ -285,11 +285,11 @@
     BOOST_TEST(platform.object() == before);
 }
 
-BOOST_AUTO_TEST_CASE(OneOfTwoRacingOperatorsWinsAndTheOtherIsToldWhoDid)
+BOOST_AUTO_TEST_CASE(OneOfTwoRacingOperatorsWinsAndTheOtherSeesTheWinnersName)
 {
-    // Symptom: an operator's accepted change is gone and nobody was told.
-    // Sequence: two operators apply files made from the same version at the same
-    // moment, and the answers to their writes are lost. Cause: an unconditional write.
+    // With an unconditional write, an operator's accepted change is silently overwritten:
+    // two operators concurrently apply files made from the same version, and the answers
+    // to their writes are lost.
     const Platform platform;
     expectCode(ctl({"--platform", platform.address, "apply", sample("lakeshore.json")}), 0);
     const std::string version = std::to_string(platform.object()["version"].get<int>());
@@ -311,7 +311,7 @@
     BOOST_TEST(complaint.find("by " + winner) != std::string::npos, "the loser is not told who won:\n" << complaint);
 }
 
-BOOST_AUTO_TEST_CASE(TellsAnOutageFromAnUnknownOutcome)
+BOOST_AUTO_TEST_CASE(DistinguishesAnOutageFromAnUnknownOutcome)
 {
     const Platform platform;
     platform.fault({{"downAfterNextChange", true}, {"loseNextAnswers", 1}});
@@ -319,10 +319,10 @@
     expectCode(ctl({"--platform", platform.address, "--timeout", "0.5", "apply", sample("legoff.json")}), 5);
     expectCode(ctl({"--platform", platform.address, "--timeout", "0.5", "diff", sample("legoff.json")}), 5);
     platform.fault({{"down", false}});
-    BOOST_TEST(platform.object()["value"].contains("file"), "the change with the unknown outcome should have been there");
+    BOOST_TEST(platform.object()["value"].contains("file"), "the change with the unknown outcome should have been stored");
 }
 
-BOOST_AUTO_TEST_CASE(StatusIsTrueOnlyWhenEveryHostHasTheLastAcceptedFile)
+BOOST_AUTO_TEST_CASE(StatusSucceedsOnlyWhenEveryHostHasTheLastAcceptedFile)
 {
     const Platform platform;
     ScriptedHost host;
--- a/tests/process/samples_test.py
+++ b/tests/process/samples_test.py
@@ -1,4 +1,4 @@
-"""The samples, run as their comments say, against a deployment of the real programs.
+"""Runs the samples, as their comments describe, against a deployment of the real programs.
 
   EGRETTIDE_BIN=build/dev python3 tests/process/samples_test.py [Samples.Case]
 """
@@ -14,7 +14,7 @@
 
 BINARIES = os.environ.get("EGRETTIDE_BIN", "build/dev")
 SOURCE = os.path.join(os.path.dirname(__file__), "..", "..")
-# Generous: sanitized programs on a busy machine.
+# Allows for sanitized programs on a busy machine.
 BOUND_S = 240
 
 
@@ -41,35 +41,33 @@
         return done.stdout
 
     def test_ABookingIsChargedOnceHoweverOftenItIsSent(self):
-        # Symptom: a family is charged twice for one session.
-        # Sequence: the booking is sent, and sent again by a caller that did not see
-        # the answer, through another host.
-        # Cause: a second attempt under another key, or without one.
+        # A caller that did not receive the answer to a booking sends it again through another
+        # host. If the second attempt has another idempotency key, or none, a family is charged
+        # twice for one session.
         for host in ("host-a", "host-b"):
             output = self.sample("booking", self.conninfo(host), "4711")
             self.assertIn("charges for 4711: 1\n", output)
 
     def test_ABookingGoesThroughAFailoverAndIsChargedOnce(self):
-        # Symptom: a booking is given up, or charged twice, because the primary died.
-        # Sequence: the primary dies; the sample books while no primary is there.
-        # Cause: treating "not run" as final, or an unknown outcome as "not run".
+        # The primary crashes, and the sample books while there is no primary. The booking is
+        # abandoned if "not run" is treated as final, or charged twice if an unknown outcome is
+        # treated as "not run".
         self.sample("booking", self.conninfo("host-a"), "1")
         self.site.processes[self.site.primary_of("booking1")].signal(signal.SIGKILL)
         output = self.sample("booking", self.conninfo("host-a"), "2")
         self.assertIn("charges for 2: 1\n", output)
 
     def test_AMovedSessionReadsItsWrites(self):
-        # Symptom: a desk books, is balanced to another host, and sees no booking.
-        # Sequence: write on one host, read at once on another.
-        # Cause: a replica behind the write answers, since the host does not know of it.
+        # A session writes on one host and reads at once on another. If the second host does not
+        # have the session's floor, a replica behind the write answers, and the caller does not
+        # see its own booking.
         for number in range(20):
             output = self.sample("movesession", self.conninfo("host-a"), self.conninfo("host-b"), str(number))
             self.assertNotIn("MISSING", output)
 
     def test_ALatestReadSeesAnotherSessionsWrite(self):
-        # Symptom: a committee does not see a booking made moments ago.
-        # Sequence: one session writes, another reads on a replica.
-        # Cause: a read that asked for the latest state is served without proof of it.
+        # One session writes, and another reads on a replica. If a read that requests the latest
+        # state is served without proof of freshness, it misses a booking made moments ago.
         for number in range(20):
             self.assertIn("latest: seen\n", self.sample("freshread", self.conninfo("host-c", "parent"), str(number)))
 
--- a/tests/runtime/platformapply_test.cpp
+++ b/tests/runtime/platformapply_test.cpp
@@ -1,6 +1,6 @@
-// Operators race over real sockets against a platform that loses answers, refuses
-// calls and goes down: the apply decision, its runner, the store client and the
-// stand-in together.
+// Integration test of the apply decision, its runner, the store client and the platform
+// stand-in: operators apply concurrently over real sockets while the platform loses
+// answers, refuses calls and goes down.
 
 #define BOOST_TEST_MODULE PlatformApply
 #include <boost/test/unit_test.hpp>
@@ -23,7 +23,7 @@
 constexpr std::chrono::seconds Generous{30};
 const std::string Key(ConfigurationKey);
 
-// One operator with a client of its own.
+// One operator with its own store client.
 struct Operator {
     Operator(boost::asio::io_context &context, const PlatformStandIn &platform, const std::string &name,
              std::optional<std::uint64_t> ifVersion, json file)
@@ -39,7 +39,7 @@
     std::optional<ApplyFinished> finished;
 };
 
-// Some operators, their files marked with their ids, and one thread for them all.
+// Several operators on one thread; each one's file is marked with the operator's id.
 class Operators
 {
 public:
@@ -57,7 +57,7 @@
         all.push_back(std::make_unique<Operator>(m_context, m_platform, id, ifVersion, std::move(file)));
     }
 
-    // Lets all of them apply at once; returns when each has its verdict.
+    // Starts all applies concurrently; returns when each has its verdict.
     void run(milliseconds bound = Generous)
     {
         std::size_t open = all.size();
@@ -77,11 +77,11 @@
     boost::asio::io_context m_context;
 
 public:
-    // Goes before the context that it uses.
+    // Must be destroyed before the context that it uses.
     std::vector<std::unique_ptr<Operator>> all;
 };
 
-// One operator's verdict after running alone.
+// Runs one operator alone and returns its result.
 ApplyFinished runAlone(const PlatformStandIn &platform, milliseconds bound = Generous, json file = json::object())
 {
     Operators operators(platform);
@@ -90,7 +90,7 @@
     return *operators.all.front()->finished;
 }
 
-// Every apply id that was ever accepted, by the object's own history.
+// All apply ids that were ever accepted, from the history of the stored object.
 std::set<std::string> acceptedIds(const PlatformStandIn &platform)
 {
     const auto object = platform.object(Key);
@@ -110,9 +110,9 @@
 
 BOOST_AUTO_TEST_CASE(ExactlyOneOfManyRacingOperatorsWinsThoughAnswersAreLost)
 {
-    // Symptom: two operators both believe that their file is in force, or neither does.
-    // Sequence: they apply over the same version; answers are lost after the write.
-    // Cause: a repeat that does not know its own earlier write.
+    // Operators apply over the same version and answers are lost after the write. If a
+    // retry does not recognize its own earlier write, two operators are both told that
+    // their file is in force, or neither is.
     std::mt19937_64 random(11);
     for (int round = 0; round < 20; ++round) {
         PlatformStandIn platform;
@@ -127,7 +127,8 @@
         BOOST_TEST(accepted.size() == 1u);
         for (const auto &one : operators.all) {
             const bool won = accepted.contains(one->id);
-            // Who reads only after the winner wrote is told at once that version 0 is gone.
+            // An operator that reads only after the winner's write is refused at once,
+            // because version 0 has been replaced.
             const ApplyVerdict expected = won ? ApplyVerdict::Applied : ApplyVerdict::LostRace;
             BOOST_TEST((one->finished->verdict == expected),
                        one->id << " got verdict " << static_cast<int>(one->finished->verdict) << " and "
@@ -149,7 +150,7 @@
     BOOST_TEST(platform.calls().writes == 1u, "an accepted file was written again");
 }
 
-BOOST_AUTO_TEST_CASE(SaysThatNothingChangedWhenTheStoreIsOut)
+BOOST_AUTO_TEST_CASE(ReportsNoChangeWhenTheStoreIsDown)
 {
     PlatformStandIn platform;
     platform.setDown(true);
@@ -157,11 +158,11 @@
     BOOST_TEST(!platform.object(Key).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(SaysUnknownWhenTheStoreGoesOutAfterTheWrite)
+BOOST_AUTO_TEST_CASE(ReportsUnknownWhenTheStoreGoesDownAfterTheWrite)
 {
-    // Symptom: the operator of an accepted file is told that nothing changed.
-    // Sequence: the write takes effect, its answer is lost, the store goes down.
-    // Cause: taking "cannot find out" for "did not happen".
+    // The write takes effect, its answer is lost and the store goes down. If an unknown
+    // outcome is treated as a failed write, the operator of an accepted file is told that
+    // nothing changed.
     PlatformStandIn platform;
     platform.loseNextAnswers(1);
     platform.goDownAfterNextChange();
