--- a/src/runtime/operators/operatorcommands.cpp
+++ b/src/runtime/operators/operatorcommands.cpp
@@ -139,7 +139,7 @@
     json document = json::parse(answer->body, nullptr, false);
     if (answer->status != http::status::ok || !document.is_object()) {
         return tl::make_unexpected(
-            failed(ExitCode::Unreachable, "What answers at " + textOf(host) + " is no egrettide host; check --operator."));
+            failed(ExitCode::Unreachable, "What answers at " + textOf(host) + " is not an egrettide host; check --operator."));
     }
     return document;
 }
@@ -423,7 +423,7 @@
     }
     if (!trace.found()) {
         result.code = ExitCode::Refused;
-        result.complaint += "no line is about request " + requestId
+        result.complaint += "no log line belongs to request " + requestId
             + "; give the logs of all hosts of that time, and look for failures_not_logged and lines_dropped in them\n";
     }
     return result;
--- a/src/runtime/operators/operatorstatus.cpp
+++ b/src/runtime/operators/operatorstatus.cpp
@@ -74,7 +74,7 @@
     case StatusVerdict::Unproven:
         break;
     }
-    return "All hosts agree, but the store did not tell whether theirs is the last accepted file.";
+    return "All hosts agree, but the store has not confirmed that theirs is the last accepted file.";
 }
 
 const char *nameOf(StatusVerdict verdict)
--- a/tests/process/egrettidectl_test.cpp
+++ b/tests/process/egrettidectl_test.cpp
@@ -32,7 +32,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds Generous{30};
+constexpr std::chrono::seconds TestTimeout{30};
 
 std::string environment(const char *name)
 {
@@ -93,7 +93,7 @@
     boost::asio::io_context context;
     HttpClient client(context, {boost::asio::ip::make_address(address.substr(0, colon)), port});
     std::optional<HttpAnswer> answer;
-    client.call({verb, target, body.is_null() ? "" : body.dump()}, Clock::now() + Generous, [&answer](const auto &result) {
+    client.call({verb, target, body.is_null() ? "" : body.dump()}, Clock::now() + TestTimeout, [&answer](const auto &result) {
         BOOST_REQUIRE(result.has_value());
         answer = *result;
     });
--- a/tests/runtime/platformapply_test.cpp
+++ b/tests/runtime/platformapply_test.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds Generous{30};
+constexpr std::chrono::seconds TestTimeout{30};
 const std::string Key(ConfigurationKey);
 
 // One operator with its own store client.
@@ -58,7 +58,7 @@
     }
 
     // Starts all applies concurrently; returns when each has its verdict.
-    void run(milliseconds bound = Generous)
+    void run(milliseconds bound = TestTimeout)
     {
         std::size_t open = all.size();
         for (const auto &one : all) {
@@ -68,7 +68,7 @@
             });
         }
         while (open > 0) {
-            BOOST_REQUIRE_MESSAGE(m_context.run_one_for(Generous) > 0, open << " operators got no verdict");
+            BOOST_REQUIRE_MESSAGE(m_context.run_one_for(TestTimeout) > 0, open << " operators got no verdict");
         }
     }
 
@@ -82,7 +82,7 @@
 };
 
 // Runs one operator alone and returns its result.
-ApplyFinished runAlone(const PlatformStandIn &platform, milliseconds bound = Generous, json file = json::object())
+ApplyFinished runAlone(const PlatformStandIn &platform, milliseconds bound = TestTimeout, json file = json::object())
 {
     Operators operators(platform);
     operators.add("mine", std::nullopt, std::move(file));
@@ -181,7 +181,7 @@
 BOOST_AUTO_TEST_CASE(RefusesAFileThatIsTooLarge)
 {
     PlatformStandIn platform;
-    BOOST_TEST((runAlone(platform, Generous, std::string(2 * 1024 * 1024, 'x')).verdict == ApplyVerdict::Refused));
+    BOOST_TEST((runAlone(platform, TestTimeout, std::string(2 * 1024 * 1024, 'x')).verdict == ApplyVerdict::Refused));
     BOOST_TEST(!platform.object(Key).has_value());
 }
 
