--- a/src/runtime/operators/operatorcommands.cpp
+++ b/src/runtime/operators/operatorcommands.cpp
@@ -3,7 +3,7 @@
 
 #include "runtime/operators/operatorcommands.h"
 
-#include "egrettide/core/logstory.h"
+#include "egrettide/core/requesttrace.h"
 
 #include "egrettide/core/configurationfile.h"
 #include "runtime/configuration/applyrunner.h"
--- a/src/runtime/operators/servicerecord.h
+++ b/src/runtime/operators/servicerecord.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "egrettide/core/writegap.h"
+#include "egrettide/core/writeoutagetracker.h"
 #include "runtime/callers/front.h"
 
 #include <absl/container/flat_hash_map.h>
