--- a/src/runtime/operators/operatorcommands.cpp
+++ b/src/runtime/operators/operatorcommands.cpp
@@ -409,15 +409,15 @@
 
 CommandResult OperatorCommands::explain(const std::string &requestId, const std::vector<std::string> &logs)
 {
-    LogStory trace(requestId);
+    RequestTrace trace(requestId);
     for (const std::string &log : logs) {
         std::istringstream lines(log);
         for (std::string line; std::getline(lines, line);) {
-            trace.take(line);
+            trace.addLine(line);
         }
     }
     CommandResult result;
-    result.output = trace.tell();
+    result.output = trace.describe();
     if (trace.skipped() > 0) {
         result.complaint = std::to_string(trace.skipped()) + " lines are not log lines and were skipped\n";
     }
--- a/src/runtime/operators/servicerecord.cpp
+++ b/src/runtime/operators/servicerecord.cpp
@@ -56,7 +56,7 @@
     if (outage) {
         log::info("writes_resumed",
                   {{"database", observation.database},
-                   {"without_ms", static_cast<long>(outage->lasted.count())},
+                   {"without_ms", static_cast<long>(outage->duration.count())},
                    {"failed_writes", outage->failedWrites}});
     }
 }
--- a/src/runtime/operators/servicerecord.h
+++ b/src/runtime/operators/servicerecord.h
@@ -40,7 +40,7 @@
     // Keyed by the kind of error.
     std::map<std::string, std::uint64_t, std::less<>> m_failures;
     // Keyed by database.
-    absl::flat_hash_map<std::string, WriteGap> m_outages;
+    absl::flat_hash_map<std::string, WriteOutageTracker> m_outages;
 };
 
 } // namespace egrettide
