--- a/tests/platform/deployment_test.cpp
+++ b/tests/platform/deployment_test.cpp
@@ -1,4 +1,4 @@
-// What lies in the platform's store, read as a configuration.
+// Tests of the translation of the platform's store content into a configuration.
 
 #define BOOST_TEST_MODULE Deployment
 #include <boost/test/unit_test.hpp>
@@ -52,7 +52,7 @@
     return upstreams;
 }
 
-// A whole entry with one field replaced; without it when `value` is null.
+// A complete entry with one field replaced, or removed when `value` is null.
 json withField(const std::string &field, const json &value)
 {
     json entry = registration("bookings", "ready");
@@ -84,7 +84,7 @@
     const ClassSpec *first = configuration->classNamed(pay->className);
     const ClassSpec *second = configuration->classNamed(browse->className);
     BOOST_TEST_REQUIRE((first != nullptr && second != nullptr));
-    BOOST_TEST(first->priority > second->priority, "0 is the highest priority there; here higher numbers go first");
+    BOOST_TEST(first->priority > second->priority, "0 is the highest priority on the wire; here higher numbers take precedence");
     BOOST_TEST((configuration->transactionIdleTimeout == milliseconds{3000}));
 }
 
@@ -134,10 +134,9 @@
 
 BOOST_AUTO_TEST_SUITE(Registrations)
 
-// Symptom: requests go to an upstream that is none, or every host ends at once.
-// Sequence: another program writes an entry among the registrations.
-// Cause: an unknown state counted as ready, a missing address was an address, and a field
-// of another type reached a cast that throws.
+// Guards against requests to an upstream that does not exist and against a crash of every host
+// when another program writes an entry among the registrations: an unknown state counted as
+// ready, a missing address was used, and a field of another type reached a cast that throws.
 BOOST_AUTO_TEST_CASE(OfAnotherWriterNameNoUpstream)
 {
     const std::vector<std::pair<std::string, json>> faults{{"service", nullptr},
@@ -176,22 +175,21 @@
         const auto read = platform::parseRegistration("i-1", withField(field, value));
         BOOST_TEST(!read.has_value(), "an entry whose " << field << " is " << value << " named an upstream");
         BOOST_TEST((read.has_value() || read.error().message.find(field) != std::string::npos),
-                   "the fault of " << field << " is not named: " << read.error().message);
+                   "the error does not name the field " << field << ": " << read.error().message);
     }
     for (const json &value : {json(), json("text"), json::array(), json(7), json::object()}) {
         BOOST_TEST(!platform::parseRegistration("i-1", value).has_value());
     }
 }
 
-BOOST_AUTO_TEST_CASE(WithFieldsThatNobodyKnowsAreTaken)
+BOOST_AUTO_TEST_CASE(WithUnknownFieldsAreAccepted)
 {
     BOOST_TEST(platform::parseRegistration("i-1", withField("colour", "green")).has_value());
     BOOST_TEST(platform::parseRegistration("i-1", withField("slots", 5.0)).has_value());
 }
 
-// Symptom: positions and roles of a process that is gone are believed of its successor.
-// Sequence: an upstream crashes and starts again under its id.
-// Cause: whatever is remembered was remembered by the id.
+// Guards against applying the positions and roles of a failed process to its successor. An
+// upstream that crashes restarts under the same id, so state kept by id alone would survive.
 BOOST_AUTO_TEST_CASE(OfAProcessThatStartedAgainNameAnother)
 {
     const auto first = platform::parseRegistration("i-1", withField("born", 1775980000000));
@@ -199,9 +197,9 @@
     const auto earlier = platform::parseRegistration("i-1", withField("born", 1775970000000));
     BOOST_TEST_REQUIRE((first.has_value() && second.has_value() && earlier.has_value()));
     BOOST_TEST(first->upstream.name != second->upstream.name);
-    BOOST_TEST(first->upstream.name != earlier->upstream.name, "a start time that goes back is another start as well");
+    BOOST_TEST(first->upstream.name != earlier->upstream.name, "an earlier start time also denotes another process");
     for (const auto *one : {&first, &second, &earlier}) {
-        BOOST_TEST(platform::instanceIdOf((*one)->upstream.name) == "i-1", "upstreams know themselves by their id alone");
+        BOOST_TEST(platform::instanceIdOf((*one)->upstream.name) == "i-1", "upstreams identify themselves by their id alone");
     }
     BOOST_TEST(platform::instanceIdOf("i-1") == "i-1");
 }
@@ -267,19 +265,17 @@
     BOOST_TEST(!configuration->route("pay")->admitsUnknownKeys);
 }
 
-BOOST_AUTO_TEST_CASE(AreNotAskedForWhereThePlatformTellsNone)
+BOOST_AUTO_TEST_CASE(AreNotRequiredWhereThePlatformListsNone)
 {
     const auto configuration = platform::translate(intent(), {});
     BOOST_TEST_REQUIRE(configuration.has_value());
     BOOST_TEST(!configuration->asksForKeys);
 }
 
-BOOST_AUTO_TEST_CASE(WhoseEntryIsDamagedLetNobodyIn)
+BOOST_AUTO_TEST_CASE(WithADamagedEntryAdmitNoCaller)
 {
-    // Symptom: a caller with an empty key is served.
-    // Sequence: an entry comes without its name, or with an empty key, or with numbers in
-    // place of keys.
-    // Cause: what could not be read was taken for something that can be matched.
+    // Guards against serving a caller with an empty key. An entry may lack its name, have an empty
+    // key or have numbers in place of keys; unreadable values must not match any key.
     const json damaged{workspace("", json::array({"k1"})),
                        workspace("two words", json::array({"k2"})),
                        "nonsense",
@@ -289,7 +285,7 @@
     const auto configuration = platform::translate(withWorkspaces(damaged), {});
     BOOST_TEST_REQUIRE(configuration.has_value());
     for (const char *key : {"", "k1", "k2", "7", "k4"}) {
-        BOOST_TEST((configuration->tenantOfKey(key) == nullptr), "the key '" << key << "' lets somebody in");
+        BOOST_TEST((configuration->tenantOfKey(key) == nullptr), "the key '" << key << "' admits a caller");
     }
     BOOST_TEST_REQUIRE((configuration->tenantOfKey("k3") != nullptr));
     BOOST_TEST(configuration->tenantOfKey("k3")->name == "desk");
@@ -300,7 +296,7 @@
     const auto configuration = platform::translate(
         withWorkspaces(json::array({workspace("desk", json::array({"k1"})), workspace("site", {"k2", "k1"})})), {});
     BOOST_TEST_REQUIRE(!configuration.has_value());
-    BOOST_TEST(configuration.error().message.find("k1") == std::string::npos, "an error tells a key");
+    BOOST_TEST(configuration.error().message.find("k1") == std::string::npos, "an error message contains a key");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/host_test.cpp
+++ b/tests/platform/host_test.cpp
@@ -1,5 +1,5 @@
-// The whole path on the platform: callers in the line protocol, hosts, upstreams and
-// the store, as stand-ins.
+// End-to-end tests on the platform: callers that use the line protocol, hosts, and stand-ins for
+// the upstreams and the store.
 
 #define BOOST_TEST_MODULE PlatformHost
 #include <boost/test/unit_test.hpp>
@@ -19,10 +19,8 @@
 
 BOOST_AUTO_TEST_CASE(ReadWhatTheyWroteAlsoWhenReplicasLag)
 {
-    // Symptom: a parent books and sees no booking.
-    // Sequence: a write is acknowledged; the session's next read goes to a replica that
-    // has not received it yet.
-    // Cause: the read carried no mark of the session's own write.
+    // Guards against a session that does not see its own acknowledged write. Without the mark of
+    // that write, the next read can go to a replica that has not received it yet.
     standin::LineGroupOptions options;
     options.lag = milliseconds(100);
     PlatformSite site(2, options);
@@ -54,10 +52,9 @@
 
 BOOST_AUTO_TEST_CASE(KeepTheirValuesAndPreparedStatementsOverSharedConnections)
 {
-    // Symptom: a statement runs with the settings of a stranger.
-    // Sequence: two sessions set different values under one name and prepare different
-    // statements under one name; both run over the same few connections.
-    // Cause: values and names belonged to the connection and not to the session.
+    // Guards against a statement that runs with another session's settings. Two sessions set
+    // different values and prepare different statements under the same names and share a few
+    // connections; the values and names must belong to the session and not to the connection.
     PlatformSite site(2);
     constexpr int callers = 4;
     std::vector<std::unique_ptr<LineClient>> clients;
@@ -92,7 +89,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ToUnknownDatabasesAreTold)
+BOOST_AUTO_TEST_CASE(ToUnknownDatabasesAreRefused)
 {
     PlatformSite site;
     LineClient client(site.addresses[0]);
@@ -121,7 +118,7 @@
 
 BOOST_AUTO_TEST_SUITE(BadInput)
 
-BOOST_AUTO_TEST_CASE(IsAnsweredAndDisturbsNobodyElse)
+BOOST_AUTO_TEST_CASE(IsAnsweredWithoutAffectingOtherSessions)
 {
     PlatformSite site;
     LineClient good(site.addresses[0]);
@@ -129,9 +126,9 @@
     LineClient bad(site.addresses[0]);
     bad.start("log");
     BOOST_TEST(bad.run("DROP everything").failedWith("MALFORMED"));
-    BOOST_TEST(bad.run("COMMIT").failedWith("MALFORMED"), "a COMMIT outside a transaction was taken");
+    BOOST_TEST(bad.run("COMMIT").failedWith("MALFORMED"), "a COMMIT outside a transaction was accepted");
     BOOST_TEST(bad.run("EXECUTE none item").failedWith("NOSTMT"));
-    BOOST_TEST(bad.run("READ item").succeeded(), "a session ended over a statement that was only malformed");
+    BOOST_TEST(bad.run("READ item").succeeded(), "a malformed statement ended its session");
     BOOST_TEST(bad.exchange("HELLO").failedWith("MALFORMED"));
     LineClient startless(site.addresses[0]);
     BOOST_TEST(startless.run("READ item").failedWith("MALFORMED"));
@@ -225,16 +222,15 @@
 
 BOOST_AUTO_TEST_CASE(OfWritesAreUnknownAndRunOnce)
 {
-    // Symptom: a family is charged twice.
-    // Sequence: the upstream runs a write and its answer is lost; somebody sends the
-    // write again, or tells the caller that it has not run.
-    // Cause: a lost answer was taken for a refusal.
+    // Guards against a write that takes effect twice. When the upstream runs a write and its answer
+    // is lost, treating the loss as a refusal makes the host repeat the write or report to the
+    // caller that it has not run.
     PlatformSite site;
     LineClient client(site.addresses[0]);
     client.start("pay");
     site.group.loseNextAnswers("m1", 1);
     const LineAnswer answer = client.run("WRITE charge 1");
-    BOOST_TEST(answer.failedWith("UNKNOWN"), "a lost answer was told as '" << answer.first() << "'");
+    BOOST_TEST(answer.failedWith("UNKNOWN"), "a lost answer was reported as '" << answer.first() << "'");
     BOOST_TEST(site.timesRan(client.lastId) == 1);
 }
 
@@ -276,7 +272,7 @@
     const auto orders = site.platform.promotions();
     BOOST_TEST_REQUIRE(!orders.empty());
     for (std::size_t i = 0; i < orders.size(); ++i) {
-        BOOST_TEST(orders[i].fencingToken > 0U, "an order went out without a claim");
+        BOOST_TEST(orders[i].fencingToken > 0U, "an order was sent without a claim");
         BOOST_TEST((i == 0 || orders[i].fencingToken > orders[i - 1].fencingToken || orders[i].holder == orders[i - 1].holder),
                    "two holders used one fencing token");
     }
@@ -286,9 +282,8 @@
 
 BOOST_AUTO_TEST_CASE(NeverHappenWithoutAClaim)
 {
-    // Symptom: two hosts promote under one token, or under none.
-    // Sequence: the store is away; the primary is lost; a host goes on without a claim.
-    // Cause: the claim was taken for a hint.
+    // Guards against two hosts that promote under the same fencing token, or under none. The primary
+    // is lost while the store is unavailable; a host must not proceed without a claim.
     PlatformSite site;
     site.platform.setDown(true);
     site.group.setDark("m1", true);
@@ -302,9 +297,8 @@
 
 BOOST_AUTO_TEST_CASE(LeaveNoReplicaPaused)
 {
-    // Symptom: a replica never receives anything again, and nobody reports it.
-    // Sequence: a promoter pauses it and dies before it orders anything else.
-    // Cause: only the promoter that paused it would have resumed it.
+    // Guards against a replica that stays paused without any report. A promoter pauses it and fails
+    // before its next order; if only that promoter could resume it, it would never receive again.
     PlatformSite site;
     site.group.pause("m2", 5);
     BOOST_TEST(eventually([&] { return !site.group.isPaused("m2"); }),
@@ -326,17 +320,16 @@
     site.daemons[0]->beginStop();
     BOOST_TEST(idle.receive().broken, "an idle session of a leaving host was kept");
     BOOST_TEST(busy.run("WRITE last 1").succeeded());
-    BOOST_TEST(busy.run("COMMIT").succeeded(), "a stop cut a transaction that was in progress");
+    BOOST_TEST(busy.run("COMMIT").succeeded(), "a stop interrupted a transaction in progress");
     site.daemons[0]->wait();
     LineClient other(site.addresses[1]);
     other.start("pay");
     BOOST_TEST(eventually([&] { return other.run("READ last").first() == "DATAROW 1"; }));
 }
 
-// Symptom: callers of a zone that is cut off are refused for as long as the cut lasts.
-// Sequence: the host of the other zone is gone without a word, and the store does not
-// answer; then the store is back.
-// Cause: the host counted as ready, and its sessions stayed.
+// Guards against refusing the callers of a partitioned zone for the duration of the partition.
+// The host of the other zone disappears without notice and the store does not answer, then the
+// store returns. A host that still counted as ready would keep its sessions.
 BOOST_AUTO_TEST_CASE(ThatAreCutOffSendTheirCallersElsewhere)
 {
     PlatformSite site(2);
@@ -345,16 +338,16 @@
     BOOST_TEST_REQUIRE(statusLineOf(site.operatorAddresses[0], "/ready") == "HTTP/1.1 200 OK");
     site.platform.setDown(true);
     site.daemons[1].reset();
-    BOOST_TEST(idle.receive().broken, "a session was kept at a host that is cut off");
+    BOOST_TEST(idle.receive().broken, "a partitioned host kept a session");
     BOOST_TEST(statusLineOf(site.operatorAddresses[0], "/ready") == "HTTP/1.1 503 Service Unavailable");
     LineClient later(site.addresses[0]);
-    BOOST_TEST(later.start("pay").state == 'I', "a caller that finds no better host is turned away");
+    BOOST_TEST(later.start("pay").state == 'I', "a caller without a better host was refused");
     site.platform.setDown(false);
     BOOST_TEST(eventually([&] { return statusLineOf(site.operatorAddresses[0], "/ready") == "HTTP/1.1 200 OK"; }),
                "a host that reaches the store is what is left");
 }
 
-// The same without the store's silence: the host is what is left, and goes on.
+// The same while the store answers: the host is the only one left and continues to serve.
 BOOST_AUTO_TEST_CASE(ThatAreLeftAloneGoOn)
 {
     PlatformSite site(2);
@@ -396,10 +389,9 @@
     BOOST_TEST(site.group.mostConnections("m1") <= 33);
 }
 
-// Symptom: every host ends, or sends requests nowhere.
-// Sequence: another program leaves entries among the upstreams' registrations, one of
-// them in the place of a real one for a moment.
-// Cause: what lay there was believed.
+// Guards against hosts that crash or send requests to invalid addresses because they accept any
+// entry. Another program leaves entries among the upstreams' registrations, one of them briefly
+// in place of a real one.
 BOOST_AUTO_TEST_CASE(GoOnBesideRegistrationsOfAnotherWriter)
 {
     PlatformSite site;
@@ -421,9 +413,9 @@
     BOOST_TEST(client.run("READ item").succeeded());
 }
 
-// Symptom: a session is refused for ever, or served by a process that knows nothing.
-// Sequence: the upstreams start again under their ids.
-// Cause: connections and positions of the processes before were believed of them.
+// Guards against a session that is refused permanently, or served by a process without its
+// state. The upstreams restart under the same ids, and the connections and positions of the
+// previous processes must not be applied to the new ones.
 BOOST_AUTO_TEST_CASE(FollowUpstreamsThatStartAgainUnderTheirIds)
 {
     PlatformSite site;
--- a/tests/platform/lineclient.h
+++ b/tests/platform/lineclient.h
@@ -1,4 +1,4 @@
-// A caller in the line protocol, for tests: sends a line and waits for the answer.
+// A test client for the line protocol: sends a line and waits for the answer.
 
 #pragma once
 
@@ -16,14 +16,14 @@
 namespace egrettide::test
 {
 
-// What came before READY, and the state that it told. `broken` when the connection
-// ended first.
+// The lines received before READY, and the state that READY reported. `broken` is set when the
+// connection ended first.
 struct LineAnswer {
     std::vector<std::string> lines;
     char state = '?';
     bool broken = false;
 
-    // The first line, or nothing.
+    // The first line, or an empty text.
     std::string first() const
     {
         return lines.empty() ? std::string() : lines.front();
@@ -38,7 +38,7 @@
     }
 };
 
-// Blocks; a broken test is ended by its time limit.
+// Blocking client; a test that hangs is ended by its time limit.
 class LineClient
 {
 public:
@@ -56,7 +56,7 @@
         return exchange("STARTUP " + route + " " + key);
     }
 
-    // Gives the statement an id of its own.
+    // Assigns a unique id to the statement.
     LineAnswer run(const std::string &text)
     {
         lastId = "q" + std::to_string(++m_lastId) + "x" + std::to_string(reinterpret_cast<std::uintptr_t>(this));
--- a/tests/platform/linecodec_test.cpp
+++ b/tests/platform/linecodec_test.cpp
@@ -1,4 +1,5 @@
-// The line protocol: what is understood, what is refused, and that no bytes crash it.
+// Tests of the line protocol's codec: which lines are accepted and refused, and that no input
+// crashes it.
 
 #define BOOST_TEST_MODULE LineCodec
 #include <boost/test/unit_test.hpp>
@@ -16,7 +17,7 @@
 namespace
 {
 
-// All lines that the reader gives for these bytes, cut into pieces of `size`.
+// All lines that the reader returns when these bytes are fed in pieces of `size`.
 std::vector<std::string> linesOf(const std::string &bytes, std::size_t size)
 {
     LineReader reader;
@@ -50,14 +51,13 @@
 
 BOOST_AUTO_TEST_CASE(LongerThanTheBoundAreRefused)
 {
-    // Symptom: a caller that never ends its line takes all memory of the host.
-    // Sequence: more than 1 MiB comes without a line end.
-    // Cause: a reader without a bound keeps everything until the line ends.
+    // Guards against a caller that exhausts the host's memory by never ending its line. The reader
+    // buffers until the line end, so it must refuse more than 1 MiB without one.
     LineReader reader;
     reader.feed(std::string(maxLineBytes, 'x'));
-    BOOST_TEST(reader.next().has_value(), "a line of the bound's length may still end");
+    BOOST_TEST(reader.next().has_value(), "a line of the maximum length was refused");
     reader.feed("x");
-    BOOST_TEST(!reader.next().has_value(), "a line above 1 MiB was not refused; the reader has no bound");
+    BOOST_TEST(!reader.next().has_value(), "a line above 1 MiB was not refused; the reader has no limit");
 }
 
 BOOST_AUTO_TEST_CASE(ArbitraryBytesCrashNothing)
@@ -109,13 +109,13 @@
     for (const char *line : {"QUERY", "QUERY a", "QUERY a DROP x", "QUERY a READ", "QUERY a BEGIN WRITE", "QUERY a COMMIT now",
                              "QUERY a SET", "QUERY a PREPARE s1", "QUERY a PREPARE s1 DELETE q", "QUERY a EXECUTE s1",
                              "QUERY a DEALLOC", "QUERY a AFTER 1.2 READ x"}) {
-        BOOST_TEST(!parseStatement(line).has_value(), "'" << line << "' was understood; it has to be refused");
+        BOOST_TEST(!parseStatement(line).has_value(), "'" << line << "' was accepted; it must be refused");
     }
 }
 
 BOOST_AUTO_TEST_CASE(UnderTheIdOfOwnStatementsAreRefused)
 {
-    // A caller that sends the id "-" would pass for egrettide itself.
+    // The id "-" is reserved for egrettide's own statements.
     BOOST_TEST(!parseStatement("QUERY - READ 1").has_value());
 }
 
@@ -139,7 +139,7 @@
 BOOST_AUTO_TEST_CASE(WithoutEitherAreRefused)
 {
     for (const char *line : {"", "STARTUP", "STARTUP lepu270", "QUERY a READ 1"}) {
-        BOOST_TEST(!parseStartup(line).has_value(), "'" << line << "' was taken for a startup");
+        BOOST_TEST(!parseStartup(line).has_value(), "'" << line << "' was accepted as a startup");
     }
 }
 
@@ -164,7 +164,7 @@
     BOOST_TEST((refusalOf("LAGGING") == ErrorKind::NotFresh));
     BOOST_TEST((refusalOf("READONLY") == ErrorKind::Moved));
     for (const char *code : {"FAILED", "TIMEOUT", "UNKNOWN", ""}) {
-        BOOST_TEST(!refusalOf(code).has_value(), code << " says nothing about whether the statement ran");
+        BOOST_TEST(!refusalOf(code).has_value(), code << " does not state whether the statement ran");
     }
 }
 
@@ -178,19 +178,17 @@
     BOOST_TEST((replica->received == LogMark{3, 1209}));
     BOOST_TEST(parseStatus("replica 3 3.1209 5 12 2 17")->promisedTerm == 5U);
     for (const char *row : {"", "primary", "leader 3 3.1 0", "primary x 3.1 0", "primary 3 31 0", "primary 3 3.1"}) {
-        BOOST_TEST(!parseStatus(row).has_value(), "'" << row << "' was taken for a status");
+        BOOST_TEST(!parseStatus(row).has_value(), "'" << row << "' was accepted as a status");
     }
 }
 
 BOOST_AUTO_TEST_CASE(OfErrorsNeverPromiseMoreThanIsKnown)
 {
-    // Symptom: a caller repeats a charge that had run.
-    // Sequence: the answer to a write is lost; the caller gets a code that promises
-    // that nothing is kept.
-    // Cause: an unknown outcome was written as one of the promising codes.
+    // Guards against a caller that repeats a write which took effect. When the answer to a write is
+    // lost, the unknown outcome must not be encoded as a code that promises that nothing is kept.
     for (const ErrorKind kind : {ErrorKind::UnknownOutcome, ErrorKind::Internal}) {
         const std::string line = errorLine(Error{kind, "text", milliseconds{0}});
-        BOOST_TEST(line == "ERROR UNKNOWN text\r\n", "an unknown outcome was told as '" << line << "'");
+        BOOST_TEST(line == "ERROR UNKNOWN text\r\n", "an unknown outcome was reported as '" << line << "'");
     }
     BOOST_TEST(errorLine(Error{ErrorKind::Overloaded, "Full.", milliseconds{120}})
                == "ERROR BUSY Full. Come back in 120 ms.\r\n");
@@ -199,7 +197,7 @@
 BOOST_AUTO_TEST_CASE(OfErrorsStayOnOneLine)
 {
     const std::string line = errorLine(Error{ErrorKind::Overloaded, "one\r\nREADY I -", milliseconds{0}});
-    BOOST_TEST(line.find('\n') == line.size() - 1, "text of an error became a message of its own: '" << line << "'");
+    BOOST_TEST(line.find('\n') == line.size() - 1, "the text of an error became a separate message: '" << line << "'");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/objectstore_test.cpp
+++ b/tests/platform/objectstore_test.cpp
@@ -1,5 +1,5 @@
-// The platform's store through its HTTP calls: what each answer, and each lost one,
-// says about an object.
+// Tests of the platform's store client over HTTP: what each answer, and each lost answer, means
+// for an object.
 
 #define BOOST_TEST_MODULE PlatformObjectStore
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 namespace
 {
 
-// Generous: it only decides how long a broken test takes to fail.
+// Generous, as it only determines how long a broken test takes to fail.
 constexpr auto callBound = 20s;
 
 class Fixture
@@ -113,10 +113,9 @@
 
 BOOST_AUTO_TEST_CASE(WhoseAnswerIsLostMayHaveChanged)
 {
-    // Symptom: two hosts hold the same claim.
-    // Sequence: a claim is written and its answer lost; its writer takes it for
-    // refused; it is applied all the same, at once or seconds later.
-    // Cause: a lost answer was read as a refusal.
+    // Guards against two hosts that hold the same claim. The answer to a claim's write is lost and
+    // the write is still applied, immediately or seconds later, so the writer must not treat the
+    // lost answer as a refusal.
     platform.loseNextAnswers(1);
     BOOST_TEST((failureOf(write("egrettide/groups/a", 1, 0)) == StoreFailure::OutcomeUnknown));
     BOOST_TEST(read("egrettide/groups/a").has_value());
@@ -134,7 +133,7 @@
         return await<Done>([&](auto done) { store.registerHost({"h1", "a", address, false}, Clock::now() + callBound, done); });
     };
     BOOST_TEST(registered("10.0.0.1:7440").has_value());
-    BOOST_TEST(registered("10.0.0.2:7440").has_value(), "a host that comes back at another address was not taken");
+    BOOST_TEST(registered("10.0.0.2:7440").has_value(), "a host that returned at another address was refused");
     const auto hosts =
         await<tl::expected<std::vector<ListedHost>, StoreError>>([&](auto done) { store.hosts(Clock::now() + callBound, done); });
     BOOST_TEST_REQUIRE((hosts.has_value() && hosts->size() == 1U));
@@ -158,7 +157,7 @@
     BOOST_TEST(page->objects.size() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(TellChangesAndRemovalsInOrder)
+BOOST_AUTO_TEST_CASE(ReportChangesAndRemovalsInOrder)
 {
     platform.putObject("servers", "a", 1);
     const auto page = list("servers");
@@ -175,7 +174,7 @@
 BOOST_AUTO_TEST_CASE(WithoutChangesEndQuietly)
 {
     const auto seen = changes("servers", list("servers")->revision, 600ms);
-    BOOST_TEST_REQUIRE(seen.has_value(), "the end of a quiet wait was taken for an outage");
+    BOOST_TEST_REQUIRE(seen.has_value(), "the end of a watch without changes was treated as an outage");
     BOOST_TEST(seen->changes.empty());
 }
 
@@ -194,7 +193,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RestoredFromACopy, Fixture)
 
-// Guards against two claims of different epochs that are promoted under one fencing token.
+// Guards against promotions under the same fencing token by two claims of different epochs.
 BOOST_AUTO_TEST_CASE(ObjectsGetVersionsThatRoseBeforeAndAreNeverUsedTwice)
 {
     platform.setEpoch("1");
@@ -212,7 +211,7 @@
     BOOST_TEST(next->version > lost->version, "a claim after the restore has no higher token than one before it");
 }
 
-// Guards against a condition that hits another state of the object that got the same revision.
+// Guards against a condition that matches another state of the object with the same revision.
 BOOST_AUTO_TEST_CASE(ObjectsAreNotWrittenOnAConditionFromBefore)
 {
     platform.setEpoch("1");
@@ -221,14 +220,14 @@
     BOOST_TEST_REQUIRE(known.has_value());
     platform.restoreCopy();
     platform.putObject("egrettide-groups", "a", {{"claim", "another host's"}});
-    // The restore is not known here yet: the answer tells.
+    // The client detects the restore only by this answer.
     BOOST_TEST((failureOf(write("egrettide/groups/a", {{"claim", 2}}, known->version)) == StoreFailure::OutcomeUnknown));
     platform.putObject("egrettide-groups", "a", {{"claim", "another host's again"}});
     BOOST_TEST((failureOf(write("egrettide/groups/a", {{"claim", 3}}, known->version)) == StoreFailure::Conflict));
     BOOST_TEST(read("egrettide/groups/a")->value == json({{"claim", "another host's again"}}));
 }
 
-// Guards against changes of the new history that are taken for what follows on the old one.
+// Guards against applying changes of the new history as a continuation of the old one.
 BOOST_AUTO_TEST_CASE(CollectionsAreListedAnewWhateverNumbersTheStoreHasReached)
 {
     platform.setEpoch("1");
@@ -241,7 +240,7 @@
         platform.putObject("servers", name, 1);
     }
     const auto changed = changes("servers", before->revision);
-    BOOST_TEST_REQUIRE(!changed.has_value(), "changes of another history were taken");
+    BOOST_TEST_REQUIRE(!changed.has_value(), "changes of another history were accepted");
     BOOST_TEST((changed.error() == CollectionFailure::HistoryGone));
     const auto after = list("servers");
     BOOST_TEST_REQUIRE(after.has_value());
@@ -250,7 +249,7 @@
     BOOST_TEST(changes("servers", after->revision, 600ms).has_value());
 }
 
-// Guards against a list of which one half is from before a restore.
+// Guards against a list of which one part dates from before a restore.
 BOOST_AUTO_TEST_CASE(PagesOfTwoEpochsAreNoList)
 {
     platform.setEpoch("1");
@@ -265,7 +264,7 @@
     BOOST_TEST(list("servers").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AnswersThatNameAnEarlierEpochAreNotTaken)
+BOOST_AUTO_TEST_CASE(AnswersThatNameAnEarlierEpochAreRejected)
 {
     platform.setEpoch("3");
     platform.putObject("servers", "a", 1);
@@ -283,9 +282,8 @@
 
 BOOST_AUTO_TEST_SUITE(Pages)
 
-// Symptom: no upstream is known any more, on any host.
-// Sequence: one object of the list holds bytes that are no text.
-// Cause: the page was read as a whole or not at all.
+// Guards against losing all upstreams on every host because one object of the list contains
+// undecodable bytes and the page is rejected as a whole.
 BOOST_AUTO_TEST_CASE(WithUnreadableBytesLoseOnlyTheirObject)
 {
     const std::string page = "{\"items\":[{\"meta\":{\"name\":\"i-1\"},\"spec\":{\"zone\":\"a\"}},\n"
@@ -295,7 +293,7 @@
     BOOST_TEST(read["items"][0]["spec"]["zone"] == "a");
     BOOST_TEST(read["items"][1]["meta"]["name"] == "i-2");
     BOOST_TEST(platform::parsedJson("{\"half").is_discarded());
-    BOOST_TEST(platform::parsedJson("\"\xc3\xa9\"") == json("\xc3\xa9"), "a text that can be read was changed");
+    BOOST_TEST(platform::parsedJson("\"\xc3\xa9\"") == json("\xc3\xa9"), "a valid text was changed");
 }
 
 BOOST_FIXTURE_TEST_CASE(OfOddObjectsAreReadAndThrowNothing, Fixture)
@@ -307,7 +305,7 @@
         using Hosts = tl::expected<std::vector<ListedHost>, StoreError>;
         const auto hosts = await<Hosts>([&](auto done) { store.hosts(Clock::now() + callBound, done); });
         BOOST_TEST_REQUIRE(hosts.has_value());
-        BOOST_TEST(hosts->empty(), "an object that names no host was taken for one");
+        BOOST_TEST(hosts->empty(), "an object that names no host was accepted as one");
     }
 }
 
--- a/tests/platform/platformsite.h
+++ b/tests/platform/platformsite.h
@@ -1,5 +1,5 @@
-// A small deployment on the platform's stand-ins: one database service, three routes
-// and some hosts, all in one process.
+// A small test deployment on the platform's stand-ins: one database service, three routes and
+// several hosts, all in one process.
 
 #pragma once
 
@@ -27,7 +27,7 @@
 namespace egrettide::test
 {
 
-// Generous: it only decides how long a broken test takes to fail.
+// Generous, as it only determines how long a broken test takes to fail.
 constexpr std::chrono::seconds siteBound{60};
 
 inline bool eventually(const std::function<bool()> &condition)
@@ -42,7 +42,7 @@
     return true;
 }
 
-// The status line of a host's answer to a GET; empty without one.
+// The status line of a host's answer to a GET; empty when there is no answer.
 inline std::string statusLineOf(const std::string &address, const std::string &path)
 {
     const auto endpoint = parseEndpoint(address);
@@ -77,11 +77,11 @@
 
     ~PlatformSite()
     {
-        // Before what they talk to.
+        // Stopped before the services that they use.
         daemons.clear();
     }
 
-    // `workspaces` as the platform writes them; null tells none, and no keys are asked for.
+    // `workspaces` in the platform's format; null lists none, so no keys are required.
     void configure(int version, const std::vector<std::string> &extraRoutes = {}, const nlohmann::json &workspaces = nullptr)
     {
         nlohmann::json routes = {route("pay", "primary"), route("browse", "bounded_staleness"), route("log", "read_your_writes")};
@@ -142,7 +142,7 @@
                 {"priority", 1},       {"service", "service"}, {"maxStalenessMs", 1500}};
     }
 
-    // How often a statement of that id ran.
+    // The number of times that the statement with this id ran.
     long timesRan(const std::string &id) const
     {
         const auto ran = group.ran();
--- a/tests/platform/restoredstore_test.cpp
+++ b/tests/platform/restoredstore_test.cpp
@@ -1,4 +1,4 @@
-// Hosts whose store comes back from an older copy of itself.
+// Tests of hosts whose store is restored from an older copy.
 
 #define BOOST_TEST_MODULE RestoredStore
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 namespace
 {
 
-// Changes of an upstream's registration that the copy lacks: what the store's counter loses.
+// Number of registration changes that the copy lacks, by which the store's counter goes back.
 constexpr int lostChanges = 40;
 
 class Site : public PlatformSite
@@ -24,7 +24,7 @@
         platform.setEpoch("1");
     }
 
-    // Whether every host lets callers of that route in.
+    // Whether every host accepts callers of that route.
     bool allServe(const std::string &route) const
     {
         return std::ranges::all_of(addresses, [&route](const std::string &address) { return lets(address, route); });
@@ -45,7 +45,7 @@
         }
     }
 
-    // Takes a copy, makes changes of which a route is the last, and goes back to the copy.
+    // Takes a copy, makes changes that end with a new route, and restores the copy.
     void restoreAfterLosing(int version, const std::string &route)
     {
         platform.takeCopy();
@@ -57,7 +57,7 @@
         platform.restoreCopy();
     }
 
-    // Loses the primary for as long as it takes until writes are served again.
+    // Makes the primary unreachable until writes are served again.
     void replacePrimary()
     {
         const std::string lost = group.primary();
@@ -82,7 +82,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(AStoreRestoredFromACopy, Site)
 
-// Guards against hosts that ignore the store until its revisions have passed what they know.
+// Guards against hosts that ignore the store until its revisions exceed the last known ones.
 BOOST_AUTO_TEST_CASE(IsFollowedFromWhereItGoesOn)
 {
     restoreAfterLosing(22, "removed");
@@ -93,7 +93,7 @@
     BOOST_TEST(allServe("added"), "an added route is refused");
 }
 
-// Guards against hosts that others don't find, since the copy is from before they registered.
+// Guards against hosts that others do not discover because the copy predates their registration.
 BOOST_AUTO_TEST_CASE(GetsTheEntriesOfItsHostsBack)
 {
     platform.removeObject("egrettide-hosts", "h2");
@@ -105,7 +105,7 @@
     BOOST_TEST(eventually([this] { return platform.objectOfKind("egrettide-hosts", "h2").has_value(); }));
 }
 
-// Guards against a database that stays without a primary, since its fencing tokens went back with the store's revisions.
+// Guards against a database that stays without a primary because its fencing tokens decreased with the store's revisions.
 BOOST_AUTO_TEST_CASE(GivesHigherFencingTokensThanBefore)
 {
     platform.takeCopy();
@@ -120,8 +120,8 @@
     BOOST_TEST(platform.promotions().back().fencingToken > before);
 }
 
-// Guards against a host that starts with what a restored store still has, and against hosts that go back to it.
-BOOST_AUTO_TEST_CASE(IsNotBelievedOverHostsThatKnowANewerConfiguration)
+// Guards against a host that starts with a restored store's older configuration, and against hosts that revert to it.
+BOOST_AUTO_TEST_CASE(DoesNotOverrideHostsWithANewerConfiguration)
 {
     configure(5, {"older"});
     BOOST_TEST_REQUIRE(eventually([this] { return allServe("older"); }));
@@ -135,13 +135,13 @@
     BOOST_TEST(eventually([this] { return allServe("newer") && noneServes("older"); }));
     platform.restoreCopy();
     std::this_thread::sleep_for(milliseconds(500));
-    BOOST_TEST((allServe("newer") && noneServes("older")), "a host went back to what the store has");
+    BOOST_TEST((allServe("newer") && noneServes("older")), "a host reverted to the store's older configuration");
     configure(9, {"newer"});
     configure(12, {"newest"});
     BOOST_TEST(eventually([this] { return allServe("newest") && noneServes("newer"); }));
 }
 
-// Guards against two promotions under one token, or none at all, when the claim is lost with the restore.
+// Guards against two promotions under one fencing token, or no promotion, when the restore loses the claim.
 BOOST_AUTO_TEST_CASE(LosesAClaimAndStillOneHostPromotes)
 {
     platform.takeCopy();
--- a/tests/platform/words_test.cpp
+++ b/tests/platform/words_test.cpp
@@ -1,4 +1,4 @@
-// The platform's own names stay in the folders that translate them.
+// Checks that the platform's own names are used only in the folders that translate them.
 
 #define BOOST_TEST_MODULE Words
 #include <boost/test/unit_test.hpp>
@@ -16,9 +16,9 @@
 
 namespace fs = std::filesystem;
 
-// Fields, headers and words of the platform's protocols. Those that are ordinary
-// words of the field, or names that the product had before (name, zone, version,
-// tombstone, maxConnections), tell nothing.
+// Fields, headers and words of the platform's protocols. Ordinary technical words and names that
+// the product had before (name, zone, version, tombstone, maxConnections) are left out, as their
+// use does not indicate a leak.
 const std::vector<std::string> platformNames{
     "Egrettide-Fencing-Token",
     "Egrettide-Holder",
@@ -74,7 +74,7 @@
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_';
 }
 
-// True when the name stands there by itself, not within a longer word.
+// True when the name occurs as a whole word.
 bool mentions(const std::string &text, const std::string &name)
 {
     for (std::size_t at = text.find(name); at != std::string::npos; at = text.find(name, at + 1)) {
@@ -130,8 +130,8 @@
 
 BOOST_AUTO_TEST_CASE(AreFoundWhereTheyAreUsed)
 {
-    // The search itself works: it finds them in the folder that translates them.
-    BOOST_TEST(usesBelow(sourceRoot(), {"platform"}).size() >= 10U, "the search finds too little; look at its file types");
+    // Verifies the search itself: it must find the names in the folder that translates them.
+    BOOST_TEST(usesBelow(sourceRoot(), {"platform"}).size() >= 10U, "the search finds too few uses; check its file types");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/workspaces_test.cpp
+++ b/tests/platform/workspaces_test.cpp
@@ -1,5 +1,5 @@
-// Callers that show keys: who is let in, in whose name upstreams run their statements, and
-// what is refused beyond a quota.
+// Tests of callers that present keys: which are admitted, for which workspace upstreams run their
+// statements, and what is refused above a quota.
 
 #define BOOST_TEST_MODULE Workspaces
 #include <boost/test/unit_test.hpp>
@@ -19,8 +19,8 @@
 namespace
 {
 
-// Waits until every host asks for keys and serves callers with this one, or lets none with it
-// in. A host that has just started counts nothing until it knows whether it is alone.
+// Waits until every host requires keys and serves callers with this key, or admits none with it.
+// A newly started host counts nothing until it has determined whether it is alone.
 bool allHosts(const PlatformSite &site, const std::string &key, bool letIn)
 {
     return std::ranges::all_of(site.addresses, [&](const std::string &address) {
@@ -45,18 +45,17 @@
 
 BOOST_AUTO_TEST_SUITE(Keys)
 
-BOOST_AUTO_TEST_CASE(ThatNobodyHoldsAreRefusedWhetherTheDatabaseExistsOrNot)
+BOOST_AUTO_TEST_CASE(ThatAreUnknownAreRefusedWhetherTheDatabaseExistsOrNot)
 {
-    // Symptom: strangers are served, or learn which databases there are.
-    // Sequence: a session starts with a key that no version ever had.
-    // Cause: the key was read and dropped, and the database was looked up first.
+    // Guards against serving callers with an unknown key, or revealing to them which databases
+    // exist. The key must be checked, and before the database is looked up.
     PlatformSite site;
     site.configure(2, {}, deskAndFamily());
     BOOST_TEST_REQUIRE(allHosts(site, "desk-1", true));
     for (const char *route : {"log", "nowhere"}) {
         LineClient stranger(site.addresses[0]);
         const LineAnswer answer = stranger.start(route, "nobody's");
-        BOOST_TEST(answer.failedWith("UNAUTH"), "a stranger was answered '" << answer.first() << "'");
+        BOOST_TEST(answer.failedWith("UNAUTH"), "a caller with an unknown key was answered '" << answer.first() << "'");
         BOOST_TEST(answer.first().find("nobody's") == std::string::npos, "the answer repeats the key");
     }
     LineClient lost(site.addresses[0]);
@@ -65,16 +64,15 @@
 
 BOOST_AUTO_TEST_CASE(NameTheWorkspaceToUpstreamsAndNeverLeave)
 {
-    // Symptom: a statement of one workspace runs in the name of another.
-    // Sequence: sessions of two workspaces take turns on the same hosts, and more than once
-    // use the connections that the other has left behind.
-    // Cause: a connection that was opened in one name was handed to the other.
+    // Guards against a statement of one workspace that runs in the name of another. Sessions of two
+    // workspaces alternate on the same hosts; a connection opened for one workspace must not be
+    // reused for the other.
     PlatformSite site(2);
     site.configure(2, {}, deskAndFamily());
     BOOST_TEST_REQUIRE(allHosts(site, "family-1", true));
     const std::map<std::string, std::string> workspaceOf{{"desk-1", "desk"}, {"desk-2", "desk"}, {"family-1", "family"}};
     std::map<std::string, std::string> expected;
-    // Kept, so that no two of them give their statements the same ids.
+    // Kept open, so that no two of them assign the same ids to their statements.
     std::vector<std::unique_ptr<LineClient>> clients;
     for (int round = 0; round < 5; ++round) {
         for (const auto &[key, workspace] : workspaceOf) {
@@ -93,17 +91,16 @@
             BOOST_TEST(statement.caller == found->second,
                        statement.text << " of " << found->second << " ran in the name of " << statement.caller);
         }
-        BOOST_TEST(!workspaceOf.contains(statement.caller), "an upstream was told a key");
+        BOOST_TEST(!workspaceOf.contains(statement.caller), "an upstream received a key");
     }
 }
 
 BOOST_AUTO_TEST_CASE(ThatAreTakenAwayEndWhatIsOpenUnderThem)
 {
-    // Symptom: a customer that was locked out goes on for hours.
-    // Sequence: sessions are idle, between two statements and inside a transaction while a
-    // new version takes their key away; a session of another key of the same workspace is
-    // not concerned.
-    // Cause: keys were looked at once, when a session began.
+    // Guards against a customer that continues for hours after its key was revoked, because keys
+    // were checked only at the start of a session. Sessions are idle, between two statements and
+    // inside a transaction while a new version removes their key; a session with another key of the
+    // same workspace is not affected.
     PlatformSite site;
     site.configure(2, {}, deskAndFamily());
     BOOST_TEST_REQUIRE(allHosts(site, "desk-1", true));
@@ -128,7 +125,7 @@
     BOOST_TEST(idle.run("SET tz x").failedWith("UNAUTH"));
     const LineAnswer refused = inside.run("EXECUTE s1 left z");
     BOOST_TEST(refused.failedWith("UNAUTH"));
-    BOOST_TEST(refused.state == 'E', "a transaction that was refused stands at '" << refused.state << "'");
+    BOOST_TEST(refused.state == 'E', "a refused transaction is in state '" << refused.state << "'");
     BOOST_TEST(inside.run("ROLLBACK").state == 'I');
     const LineAnswer commit = committing.run("COMMIT");
     BOOST_TEST(commit.failedWith("UNAUTH"));
@@ -152,10 +149,9 @@
 
 BOOST_AUTO_TEST_CASE(HoldOverAllHostsTogether)
 {
-    // Symptom: a workspace gets its quota once for each host.
-    // Sequence: callers of one workspace ask as fast as they can through three hosts, for
-    // longer than the window of the quota's promise.
-    // Cause: every host counted for itself.
+    // Guards against granting a workspace its quota once per host, as happens when every host counts
+    // separately. Callers of one workspace send requests at full speed through three hosts, for
+    // longer than the quota's window.
     constexpr double perSecond = 20;
     PlatformSite site(3);
     site.configure(
@@ -166,7 +162,7 @@
     std::vector<std::thread> threads;
     std::atomic<int> refused{0};
     std::atomic<int> truthful{0};
-    // Fewer callers, each waiting for its answer, would be paced and never refused.
+    // With fewer callers, each waiting for its answer, requests would be paced and never refused.
     constexpr std::size_t callers = 15;
     for (std::size_t i = 0; i < callers; ++i) {
         threads.emplace_back([&, address = site.addresses[i % site.addresses.size()]] {
@@ -197,7 +193,7 @@
     const double seconds = std::chrono::duration<double>(Clock::now() - begun).count();
     BOOST_TEST(static_cast<double>(ran) <= perSecond * seconds + perSecond, "" << ran << " requests ran in " << seconds << " s");
     BOOST_TEST(refused > 0);
-    BOOST_TEST(truthful == refused, "a refusal did not say when to come back");
+    BOOST_TEST(truthful == refused, "a refusal did not state when to retry");
     BOOST_TEST(calmRefused == 0, "a workspace below its quota was refused " << calmRefused << " times");
 }
 
