--- a/tests/platform/deployment_test.cpp
+++ b/tests/platform/deployment_test.cpp
@@ -255,21 +255,21 @@
 {
     const auto configuration = platform::translate(withWorkspaces(json::array({workspace("desk", {"k1", "k2"})})), {});
     BOOST_TEST_REQUIRE(configuration.has_value());
-    BOOST_TEST(configuration->asksForKeys);
+    BOOST_TEST(configuration->requiresKeys);
     const TenantSpec *desk = configuration->tenantOfKey("k2");
     BOOST_TEST_REQUIRE((desk != nullptr && desk->quota.has_value()));
     BOOST_TEST(desk->name == "desk");
     BOOST_TEST(desk->quota->perSecond == 12.5);
     BOOST_TEST(desk->quota->burst == 20);
-    BOOST_TEST(configuration->route("browse")->admitsUnknownKeys);
-    BOOST_TEST(!configuration->route("pay")->admitsUnknownKeys);
+    BOOST_TEST(configuration->route("browse")->allowsUnknownKeys);
+    BOOST_TEST(!configuration->route("pay")->allowsUnknownKeys);
 }
 
 BOOST_AUTO_TEST_CASE(AreNotRequiredWhereThePlatformListsNone)
 {
     const auto configuration = platform::translate(intent(), {});
     BOOST_TEST_REQUIRE(configuration.has_value());
-    BOOST_TEST(!configuration->asksForKeys);
+    BOOST_TEST(!configuration->requiresKeys);
 }
 
 BOOST_AUTO_TEST_CASE(WithADamagedEntryAdmitNoCaller)
