--- a/testing/platform/kindstore.cpp
+++ b/testing/platform/kindstore.cpp
@@ -1,4 +1,4 @@
-// The stand-in's objects by kind and name.
+// Implements the stand-in's object store by kind and name.
 
 #include "testing/platform/kindstore.h"
 
@@ -33,9 +33,9 @@
     return found == objects->second.end() ? json() : found->second;
 }
 
-KindAnswer KindStore::conflict(const json &standing)
+KindAnswer KindStore::conflict(const json &existing)
 {
-    return {statusConflict, standing};
+    return {statusConflict, existing};
 }
 
 KindAnswer KindStore::store(const std::string &kind, const std::string &name, const json &spec)
@@ -59,32 +59,32 @@
 KindAnswer KindStore::create(const std::string &kind, const json &object)
 {
     const std::string name = object.value("meta", json::object()).value("name", std::string());
-    const json standing = objectAt(kind, name);
-    return standing.is_null() ? store(kind, name, object.value("spec", json())) : conflict(standing);
+    const json existing = objectAt(kind, name);
+    return existing.is_null() ? store(kind, name, object.value("spec", json())) : conflict(existing);
 }
 
 KindAnswer KindStore::replace(const std::string &kind, const std::string &name, const json &object)
 {
-    const json standing = objectAt(kind, name);
-    if (standing.is_null()) {
+    const json existing = objectAt(kind, name);
+    if (existing.is_null()) {
         return {statusNotFound, json::object()};
     }
     const auto expected = expectedIn(object);
-    if (expected && *expected != standing["meta"]["revision"].get<std::uint64_t>()) {
-        return conflict(standing);
+    if (expected && *expected != existing["meta"]["revision"].get<std::uint64_t>()) {
+        return conflict(existing);
     }
     return store(kind, name, object.value("spec", json()));
 }
 
 KindAnswer KindStore::remove(const std::string &kind, const std::string &name)
 {
-    const json standing = objectAt(kind, name);
-    if (standing.is_null()) {
+    const json existing = objectAt(kind, name);
+    if (existing.is_null()) {
         return {statusNotFound, json::object()};
     }
     m_objects[kind].erase(name);
-    m_history.push_back({kind, ++m_revision, true, standing});
-    return {statusOk, standing};
+    m_history.push_back({kind, ++m_revision, true, existing});
+    return {statusOk, existing};
 }
 
 KindAnswer KindStore::read(const std::string &kind, const std::string &name) const
--- a/testing/platform/kindstore.h
+++ b/testing/platform/kindstore.h
@@ -1,5 +1,5 @@
-// The objects of the users' platform by kind and name, over the stand-in's store:
-// revisions, conditional changes, the history that watches read. Pure.
+// In-memory store of the users' platform's objects by kind and name: revisions,
+// conditional changes and the change history that watches read. Does no I/O.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 namespace egrettide::standin
 {
 
-// What a call is answered with.
+// The answer to a call: HTTP status and JSON body.
 struct KindAnswer {
     int status = 200;
     nlohmann::json body;
@@ -25,19 +25,20 @@
 class KindStore
 {
 public:
-    // `expected` as in the call's revision; nothing when it carries none.
+    // 409 with the existing object when the name is taken.
     KindAnswer create(const std::string &kind, const nlohmann::json &object);
+    // 409 with the existing object when the call's meta.revision is present and differs.
     KindAnswer replace(const std::string &kind, const std::string &name, const nlohmann::json &object);
     KindAnswer remove(const std::string &kind, const std::string &name);
     KindAnswer read(const std::string &kind, const std::string &name) const;
-    // At most `pageSize` objects behind the name `after`.
+    // At most `pageSize` objects whose names sort after `after`.
     KindAnswer list(const std::string &kind, const std::string &after) const;
-    // What changed in the kind since a revision: 410 when that history is gone,
-    // nothing when there is no change yet.
+    // Changes of the kind after revision `since`: 410 when that part of the history is
+    // not available, nullopt when there is no change yet.
     std::optional<KindAnswer> changes(const std::string &kind, std::uint64_t since) const;
     KindAnswer noChanges() const;
 
-    // Forgets all history; watches from before are answered 410.
+    // Discards the history; watches from an earlier revision are answered 410.
     void forgetHistory();
     std::size_t pageSize = 500;
 
@@ -51,13 +52,13 @@
 
     nlohmann::json objectAt(const std::string &kind, const std::string &name) const;
     KindAnswer store(const std::string &kind, const std::string &name, const nlohmann::json &spec);
-    static KindAnswer conflict(const nlohmann::json &standing);
+    static KindAnswer conflict(const nlohmann::json &existing);
 
     // By kind and name.
     std::map<std::string, std::map<std::string, nlohmann::json>> m_objects;
     std::deque<Change> m_history;
     std::uint64_t m_revision = 0;
-    // Changes up to this one are forgotten.
+    // The history holds no change up to and including this revision.
     std::uint64_t m_forgotten = 0;
 };
 
--- a/testing/platform/linegroup.cpp
+++ b/testing/platform/linegroup.cpp
@@ -1,4 +1,4 @@
-// The members of a line-protocol service on one thread.
+// Implements the members of a line-protocol service on one thread.
 
 #include "testing/platform/linegroup.h"
 
@@ -36,7 +36,7 @@
 
 struct Entry {
     Term term = 0;
-    // Item and data of each write of the transaction.
+    // Item and data of each write in the transaction.
     std::vector<std::pair<std::string, std::string>> writes;
 };
 
@@ -71,7 +71,7 @@
     tcp::acceptor acceptor;
     testing::SlotPool slots;
     std::vector<Entry> log;
-    // The term of its pause, 0 for none.
+    // The term for which it is paused; 0 when it is not.
     Term held = 0;
     bool dark = false;
     int answersToLose = 0;
@@ -146,7 +146,7 @@
 namespace
 {
 
-// One connection to a member; one statement at a time, in order.
+// One connection to a member; it runs one statement at a time, in order.
 class Connection : public std::enable_shared_from_this<Connection>
 {
 public:
@@ -185,7 +185,7 @@
     bool m_readOnly = false;
     Term m_beganUnder = 0;
     std::vector<std::pair<std::string, std::string>> m_writes;
-    // Who has connected, as the startup says.
+    // The caller named in the startup message.
     std::string m_caller;
     std::map<std::string, std::string> m_values;
     std::map<std::string, std::string> m_prepared;
@@ -225,7 +225,7 @@
         if (!line.empty() && line.back() == '\r') {
             line.pop_back();
         }
-        // A dark member has received it and does nothing with it.
+        // A dark member discards what it receives.
         if (!self->m_member.dark) {
             self->take(std::move(line));
         }
@@ -279,7 +279,7 @@
     }
 }
 
-// What needs no slot; false for everything else.
+// Handles statements that need no slot; returns false for all others.
 bool Connection::takeAtOnce(const std::string &verb, std::string rest)
 {
     if (verb == "SET") {
@@ -507,7 +507,8 @@
     to.log = member(leader).log;
 }
 
-// The member leads the next term with what it has; others lose what it lacks.
+// The member becomes primary of the next term with the log that it holds; the others
+// lose the writes that it lacks.
 void LineGroup::Impl::lead(const std::string &name)
 {
     if (name == leader || member(name).dark) {
--- a/testing/platform/linegroup.h
+++ b/testing/platform/linegroup.h
@@ -1,7 +1,7 @@
 // A stand-in for one database service of the users' platform: a primary and its
-// replicas that speak the line protocol, with faults that can be switched on. It
-// keeps a record of what ran, so that tests can check it. All members live on one
-// thread of the group's own.
+// replicas that speak the line protocol, with fault injection. It records the
+// statements that ran for tests to check. All members run on one thread that the
+// group owns.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 struct LineGroupOptions {
     std::string service = "service";
-    // Also the ids under which they register; the first one starts as primary.
+    // Names, and also registration ids; the first member starts as primary.
     std::vector<std::string> members{"m1", "m2", "m3"};
     std::vector<std::string> zones{"a", "b", "c"};
     int slots = 5;
@@ -29,31 +29,31 @@
     int queue = 40;
     // How long a statement holds its slot.
     milliseconds work{1};
-    // How long after a commit a replica holds it.
+    // Replication lag: delay from a commit until replicas hold it.
     milliseconds lag{1};
-    // How long after an order a member leads.
+    // Delay from a promotion order until the member is primary.
     milliseconds promoteDelay{20};
-    // Seeds the signatures.
+    // Seeds the generator of the signatures.
     std::uint64_t seed = 1;
 };
 
-// A statement that ran, as an upstream saw it.
+// A statement that ran, as recorded by an upstream.
 struct RanStatement {
     std::string member;
-    // Numbers the connections of all members.
+    // Connection number, unique across all members.
     std::uint64_t connection = 0;
     std::string id;
     std::string text;
     bool inTransaction = false;
-    // The connection's values at that moment.
+    // The connection's session values when the statement ran.
     std::map<std::string, std::string> values;
-    // What its prepared statement runs; empty for plain statements.
+    // Text of the prepared statement that it executes; empty for plain statements.
     std::string shape;
-    // In whose name its connection was opened.
+    // The caller named when its connection was opened.
     std::string caller;
 };
 
-// Methods may be called from any thread, but not from two at once.
+// Methods may be called from any thread, but not concurrently.
 class LineGroup
 {
 public:
@@ -64,7 +64,7 @@
 
     // "IP:port" of a member.
     std::string address(const std::string &member) const;
-    // What the member writes about itself into the store.
+    // The registration that the member writes into the store.
     nlohmann::json registration(const std::string &member) const;
 
     std::string primary() const;
@@ -72,25 +72,27 @@
     // Orders a promotion; false when there is no such member, or it is dark.
     bool promote(const std::string &member);
     bool isPaused(const std::string &member) const;
-    // Pauses a member as an order of a promoter would, and leaves it so.
+    // Pauses a member as a promoter's order does; it stays paused.
     void pause(const std::string &member, Term term);
 
     void setLag(milliseconds lag);
-    // While dark, a member answers nothing and accepts nobody; nothing reaches it.
+    // While dark, a member is isolated: it answers nothing, accepts no connections and
+    // receives no replicated writes.
     void setDark(const std::string &member, bool dark);
-    // The member runs its next statements, and the answers are lost with their connections.
+    // The member runs its next `count` statements but closes their connections without
+    // an answer.
     void loseNextAnswers(const std::string &member, int count);
-    // The member answers the next statements, reads and writes alike, BUSY.
+    // The member answers BUSY to its next `count` statements, reads and writes alike.
     void refuseNext(const std::string &member, int count);
     // Closes all connections of a member.
     void dropConnections(const std::string &member);
 
     std::vector<RanStatement> ran() const;
-    // The most connections that a member ever had.
+    // The highest number of simultaneous connections to a member.
     int mostConnections(const std::string &member) const;
     int refusedConnections(const std::string &member) const;
 
-    // Known to the implementation alone.
+    // Defined in the implementation file only.
     class Impl;
 
 private:
--- a/testing/platform/main.cpp
+++ b/testing/platform/main.cpp
@@ -1,4 +1,4 @@
-// Runs the platform stand-in as a program until it is told to stop.
+// Runs the platform stand-in as a program until SIGINT or SIGTERM.
 
 #include "testing/platform/linegroup.h"
 #include "testing/platform/platformstandin.h"
@@ -29,8 +29,8 @@
     return {asio::ip::make_address(address.substr(0, colon)), static_cast<unsigned short>(port)};
 }
 
-// Registers a service of three members in the store, under one route of each kind, and
-// lets orders to promote and /admin/members act on it.
+// Registers a service of three members in the store with one route of each type, and
+// applies promotion orders and /admin/members to it.
 void registerService(egrettide::standin::PlatformStandIn &platform, egrettide::standin::LineGroup &group)
 {
     using nlohmann::json;
--- a/testing/platform/objectstore.cpp
+++ b/testing/platform/objectstore.cpp
@@ -1,4 +1,4 @@
-// The stand-in's objects and host list.
+// Implements the stand-in's objects and host list.
 
 #include "testing/platform/objectstore.h"
 
--- a/testing/platform/objectstore.h
+++ b/testing/platform/objectstore.h
@@ -1,5 +1,5 @@
-// What the platform stand-in keeps: objects with versions and a host list that
-// lags. Pure: the time comes in as an argument.
+// State of the platform stand-in: versioned objects and a host list with a
+// configurable lag. Does no I/O; the time is passed in.
 
 #pragma once
 
@@ -24,10 +24,10 @@
     nlohmann::json value;
 };
 
-// What became of a conditional change.
+// The outcome of a conditional change.
 struct ChangeResult {
     bool applied = false;
-    // The object's version now; 0 when it does not exist.
+    // The object's version after the call; 0 when it does not exist.
     std::uint64_t version = 0;
 };
 
@@ -39,7 +39,8 @@
 
     std::optional<StoredObject> read(const std::string &key) const;
 
-    // Writes when the object is at `ifVersion` (0: absent) or when none is given.
+    // Writes when the object's version equals `ifVersion` (0: absent), or
+    // unconditionally when none is given.
     ChangeResult write(const std::string &key, nlohmann::json value, std::optional<std::uint64_t> ifVersion);
 
     // Deletes under the same condition.
@@ -52,7 +53,7 @@
     std::uint64_t versionOf(const std::string &key) const;
 
     std::map<std::string, StoredObject> m_objects;
-    // The last version given out; only rises, over all objects.
+    // The last version assigned; increases monotonically across all objects.
     std::uint64_t m_lastVersion = 0;
 };
 
@@ -63,7 +64,7 @@
     bool leaving = false;
 };
 
-// The host list as its readers see it: every change shows only after the lag.
+// The host list as returned to readers: a change becomes visible after the lag.
 class LaggingHostList
 {
 public:
--- a/testing/platform/platformstandin.cpp
+++ b/testing/platform/platformstandin.cpp
@@ -1,5 +1,5 @@
-// The stand-in's HTTP server: one thread, one session for each connection, one
-// call at a time in each session.
+// Implements the stand-in's HTTP server: one thread, one session per connection,
+// one call at a time per session.
 
 #include "testing/platform/platformstandin.h"
 
@@ -35,15 +35,15 @@
 namespace
 {
 
-// Room for a value of the largest size and its envelope; larger bodies are still
-// read, so that the caller gets its 413.
+// Exceeds the largest value plus its envelope, so that an oversized value is still
+// read and its caller receives 413.
 constexpr std::uint64_t BodyLimit = 16 * ObjectStore::MaxValueBytes;
 
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 using Query = std::map<std::string, std::string>;
 
-// What one call leads to.
+// The outcome of one call.
 struct Outcome {
     enum class Kind { Answer, Close, Wait };
     Kind kind = Kind::Answer;
@@ -56,7 +56,7 @@
     return {Outcome::Kind::Answer, static_cast<http::status>(reply.status), std::move(reply.body)};
 }
 
-// A watch on a kind that waits for a change.
+// A pending watch on a kind.
 struct KindWatch {
     std::string kind;
     std::uint64_t since = 0;
@@ -64,12 +64,12 @@
     std::unique_ptr<Timer> timer;
 };
 
-// A watch that waits for its object to change.
+// A pending watch on one object.
 struct Watch {
     std::string key;
     std::uint64_t afterVersion = 0;
     std::function<void(Outcome)> finish;
-    // Ends the watch when nothing changes.
+    // Ends the watch when no change occurs in time.
     std::unique_ptr<Timer> timer;
 };
 
@@ -152,8 +152,8 @@
 
 } // namespace
 
-// Everything here runs on the server's own thread, but for the constructor, the
-// destructor and run().
+// All members run on the server's own thread, except the constructor, the destructor
+// and run().
 class PlatformStandIn::Server
 {
 public:
@@ -184,20 +184,20 @@
     int changesToDelay = 0;
     KindStore kinds;
     KindStore copy;
-    // Named with every answer; empty for a store that names none.
+    // The store epoch sent with every answer; empty sends none.
     std::string epoch;
     bool restoresBeforeNextPage = false;
     std::vector<std::function<void()>> lateChanges;
     std::function<bool(const PromotionOrder &)> promote;
     std::function<void(const json &)> members;
     std::vector<PromotionOrder> promotions;
-    // The highest fencing token seen for each service.
+    // The highest fencing token received for each service.
     std::map<std::string, std::uint64_t> fences;
 
     void wakeKindWatches();
     void cutKindWatches();
     void restoreCopy();
-    // Decides one call; Wait means that `finish` is run later.
+    // Handles one call; Wait means that `finish` runs later.
     Outcome handle(const Request &request, const std::function<void(Outcome)> &finish);
     void setDown(bool isDown);
     void dropConnections();
@@ -225,7 +225,7 @@
     Outcome handleHosts();
     Outcome changed(const std::string &key, const ChangeResult &result);
     void count(http::verb verb, const std::string &path, const Query &query);
-    // What the switched-on faults make of the next call; nothing when it may go on.
+    // The outcome that active faults impose on the next call; nullopt when it proceeds.
     std::optional<Outcome> fault();
     void addWatch(const std::string &key, std::uint64_t afterVersion, milliseconds wait,
                   const std::function<void(Outcome)> &finish);
@@ -237,7 +237,7 @@
     std::map<std::uint64_t, Watch> m_watches;
     std::map<std::uint64_t, KindWatch> m_kindWatches;
     std::uint64_t m_lastWatch = 0;
-    // Those that are gone are removed as new ones come.
+    // Expired entries are removed when new sessions are added.
     std::vector<std::weak_ptr<Session>> m_sessions;
     std::thread m_thread;
 };
@@ -327,7 +327,7 @@
     std::optional<http::request_parser<http::string_body>> m_parser;
     Request m_request;
     Response m_response;
-    // True while it waits for a call.
+    // True while the session is idle, waiting for a call.
     bool m_idle = false;
 };
 
