--- a/testing/platform/linegroup.cpp
+++ b/testing/platform/linegroup.cpp
@@ -40,7 +40,7 @@
     std::vector<std::pair<std::string, std::string>> writes;
 };
 
-std::string wordOf(std::string &text)
+std::string takeWord(std::string &text)
 {
     const std::size_t end = text.find(' ');
     std::string word = text.substr(0, end);
@@ -72,11 +72,11 @@
     testing::SlotPool slots;
     std::vector<Entry> log;
     // The term for which it is paused; 0 when it is not.
-    Term held = 0;
+    Term pauseTerm = 0;
     bool dark = false;
     int answersToLose = 0;
     int refusals = 0;
-    int inWork = 0;
+    int activeStatements = 0;
     int mostConnections = 0;
     int refusedConnections = 0;
     std::set<std::shared_ptr<Connection>> connections;
@@ -119,15 +119,15 @@
         return **found;
     }
 
-    bool leads(const Member &asked) const
+    bool isPrimary(const Member &candidate) const
     {
-        return asked.name == leader;
+        return candidate.name == leader;
     }
 
     void accept(Member &at);
     void commit(Member &at, std::vector<std::pair<std::string, std::string>> writes);
     void replicate(Member &to);
-    void lead(const std::string &name);
+    void makePrimary(const std::string &name);
     std::string signature();
 
     LineGroupOptions options;
@@ -157,14 +157,14 @@
 
 private:
     void readLine();
-    void take(std::string line);
-    void takeStartup(std::string rest);
-    void takeStatement(std::string rest);
-    bool takeAtOnce(const std::string &verb, std::string rest);
-    void takeControl(const std::string &verb, const std::string &rest);
+    void handleLine(std::string line);
+    void handleStartup(std::string rest);
+    void handleStatement(std::string rest);
+    bool handleWithoutSlot(const std::string &verb, std::string rest);
+    void handleControl(const std::string &verb, const std::string &rest);
     void runInSlot(const std::string &verb, std::string rest);
-    void finish(const std::string &verb, std::string rest);
-    void note(const std::string &text, const std::string &shape);
+    void execute(const std::string &verb, std::string rest);
+    void record(const std::string &text, const std::string &shape);
     void read(const std::string &item);
     void write(const std::string &item, const std::string &data);
     void answer(const std::string &lines);
@@ -183,7 +183,7 @@
     std::string m_id;
     char m_state = 'I';
     bool m_readOnly = false;
-    Term m_beganUnder = 0;
+    Term m_beginTerm = 0;
     std::vector<std::pair<std::string, std::string>> m_writes;
     // The caller named in the startup message.
     std::string m_caller;
@@ -227,27 +227,27 @@
         }
         // A dark member discards what it receives.
         if (!self->m_member.dark) {
-            self->take(std::move(line));
+            self->handleLine(std::move(line));
         }
     });
 }
 
-void Connection::take(std::string line)
+void Connection::handleLine(std::string line)
 {
-    const std::string word = wordOf(line);
+    const std::string word = takeWord(line);
     if (!m_started && word == "STARTUP") {
-        takeStartup(std::move(line));
+        handleStartup(std::move(line));
     } else if (m_started && word == "QUERY") {
-        takeStatement(std::move(line));
+        handleStatement(std::move(line));
     } else {
         close();
     }
 }
 
-void Connection::takeStartup(std::string rest)
+void Connection::handleStartup(std::string rest)
 {
-    const std::string service = wordOf(rest);
-    m_caller = wordOf(rest);
+    const std::string service = takeWord(rest);
+    m_caller = takeWord(rest);
     const bool wrongId = !rest.empty() && rest != m_member.name;
     const bool full = static_cast<int>(m_member.connections.size()) > m_group.options.connections;
     if (service != m_group.options.service || wrongId || full) {
@@ -261,49 +261,49 @@
     readLine();
 }
 
-void Connection::takeStatement(std::string rest)
+void Connection::handleStatement(std::string rest)
 {
-    m_id = wordOf(rest);
-    std::string verb = wordOf(rest);
+    m_id = takeWord(rest);
+    std::string verb = takeWord(rest);
     std::optional<LogMark> after;
     if (verb == "AFTER") {
-        after = markFrom(wordOf(rest));
-        verb = wordOf(rest);
+        after = markFrom(takeWord(rest));
+        verb = takeWord(rest);
     }
     if (m_state == 'E' && verb != "ROLLBACK" && verb != "COMMIT") {
         fail("MALFORMED");
     } else if (after && m_member.position() < *after) {
         fail("LAGGING");
-    } else if (!takeAtOnce(verb, rest)) {
+    } else if (!handleWithoutSlot(verb, rest)) {
         runInSlot(verb, std::move(rest));
     }
 }
 
 // Handles statements that need no slot; returns false for all others.
-bool Connection::takeAtOnce(const std::string &verb, std::string rest)
+bool Connection::handleWithoutSlot(const std::string &verb, std::string rest)
 {
     if (verb == "SET") {
-        const std::string name = wordOf(rest);
+        const std::string name = takeWord(rest);
         m_values[name] = rest;
     } else if (verb == "RESET") {
         m_values.clear();
         m_prepared.clear();
     } else if (verb == "PREPARE") {
-        const std::string name = wordOf(rest);
+        const std::string name = takeWord(rest);
         m_prepared[name] = rest;
     } else if (verb == "ROLLBACK") {
         m_state = 'I';
         m_writes.clear();
     } else if (verb == "BEGIN") {
         m_readOnly = rest == "READ";
-        if (!m_readOnly && !m_group.leads(m_member)) {
+        if (!m_readOnly && !m_group.isPrimary(m_member)) {
             fail("READONLY " + m_member.name);
             return true;
         }
         m_state = 'T';
-        m_beganUnder = m_group.term;
+        m_beginTerm = m_group.term;
     } else if (verb == "PAUSE" || verb == "RESUME" || verb == "STEPDOWN") {
-        takeControl(verb, rest);
+        handleControl(verb, rest);
         return true;
     } else {
         return false;
@@ -312,24 +312,24 @@
     return true;
 }
 
-void Connection::takeControl(const std::string &verb, const std::string &rest)
+void Connection::handleControl(const std::string &verb, const std::string &rest)
 {
     if (verb == "PAUSE") {
         const Term wanted = std::stoull(rest);
-        if (m_group.leads(m_member) || wanted <= std::max(m_group.term, m_member.held)) {
+        if (m_group.isPrimary(m_member) || wanted <= std::max(m_group.term, m_member.pauseTerm)) {
             fail("READONLY");
             return;
         }
-        m_member.held = wanted;
+        m_member.pauseTerm = wanted;
     } else if (verb == "RESUME") {
-        m_member.held = 0;
+        m_member.pauseTerm = 0;
         m_group.replicate(m_member);
-    } else if (m_group.leads(m_member) && std::stoull(rest) > m_group.term) {
+    } else if (m_group.isPrimary(m_member) && std::stoull(rest) > m_group.term) {
         m_group.leader.clear();
     }
-    const std::string role = m_group.leads(m_member) ? "primary" : "replica";
+    const std::string role = m_group.isPrimary(m_member) ? "primary" : "replica";
     answer("DATAROW " + role + " " + std::to_string(m_group.term) + " " + textOf(m_member.position()) + " "
-           + std::to_string(m_member.held) + " 1 " + std::to_string(m_member.inWork) + " "
+           + std::to_string(m_member.pauseTerm) + " 1 " + std::to_string(m_member.activeStatements) + " "
            + std::to_string(m_member.connections.size()) + "\r\nCOMPLETE -\r\n");
 }
 
@@ -341,23 +341,23 @@
         fail("BUSY");
         return;
     }
-    ++m_member.inWork;
+    ++m_member.activeStatements;
     m_member.slots.submit(m_group.options.work, [self = shared_from_this(), verb, rest = std::move(rest)] {
-        --self->m_member.inWork;
+        --self->m_member.activeStatements;
         if (!self->m_closed && !self->m_member.dark) {
-            self->finish(verb, rest);
+            self->execute(verb, rest);
         }
     });
 }
 
-void Connection::finish(const std::string &verb, std::string rest)
+void Connection::execute(const std::string &verb, std::string rest)
 {
     if (verb == "STATUS") {
-        takeControl(verb, "0");
+        handleControl(verb, "0");
         return;
     }
-    const bool lostLead = m_state == 'T' && !m_readOnly && (!m_group.leads(m_member) || m_beganUnder != m_group.term);
-    if (lostLead && !(verb == "COMMIT" && m_writes.empty())) {
+    const bool lostPrimaryRole = m_state == 'T' && !m_readOnly && (!m_group.isPrimary(m_member) || m_beginTerm != m_group.term);
+    if (lostPrimaryRole && !(verb == "COMMIT" && m_writes.empty())) {
         m_state = verb == "COMMIT" ? 'I' : 'E';
         m_writes.clear();
         fail("READONLY " + m_member.name);
@@ -366,7 +366,7 @@
     if (verb == "COMMIT") {
         const bool failed = m_state == 'E';
         m_state = 'I';
-        note("COMMIT", {});
+        record("COMMIT", {});
         if (!failed && !m_writes.empty()) {
             m_group.commit(m_member, std::exchange(m_writes, {}));
         }
@@ -376,7 +376,7 @@
     std::string shape;
     std::string kind = verb;
     if (verb == "EXECUTE") {
-        const auto found = m_prepared.find(wordOf(rest));
+        const auto found = m_prepared.find(takeWord(rest));
         if (found == m_prepared.end()) {
             fail("NOSTMT");
             return;
@@ -384,19 +384,19 @@
         shape = found->second;
         kind = shape.substr(0, shape.find(' '));
     }
-    const std::string item = wordOf(rest);
+    const std::string item = takeWord(rest);
     if (kind == "READ") {
-        note(verb + " " + item, shape);
+        record(verb + " " + item, shape);
         read(item);
-    } else if (kind == "WRITE" && m_group.leads(m_member) && !(m_state == 'T' && m_readOnly)) {
-        note(verb + " " + item + " " + rest, shape);
+    } else if (kind == "WRITE" && m_group.isPrimary(m_member) && !(m_state == 'T' && m_readOnly)) {
+        record(verb + " " + item + " " + rest, shape);
         write(item, rest);
     } else {
         fail(kind == "WRITE" ? "READONLY " + m_member.name : std::string("MALFORMED"));
     }
 }
 
-void Connection::note(const std::string &text, const std::string &shape)
+void Connection::record(const std::string &text, const std::string &shape)
 {
     m_group.ran.push_back({m_member.name, m_number, m_id, text, m_state == 'T', m_values, shape, m_caller});
 }
@@ -501,7 +501,7 @@
 
 void LineGroup::Impl::replicate(Member &to)
 {
-    if (leader.empty() || leads(to) || to.held != 0 || to.dark || member(leader).dark) {
+    if (leader.empty() || isPrimary(to) || to.pauseTerm != 0 || to.dark || member(leader).dark) {
         return;
     }
     to.log = member(leader).log;
@@ -509,7 +509,7 @@
 
 // The member becomes primary of the next term with the log that it holds; the others
 // lose the writes that it lacks.
-void LineGroup::Impl::lead(const std::string &name)
+void LineGroup::Impl::makePrimary(const std::string &name)
 {
     if (name == leader || member(name).dark) {
         return;
@@ -517,7 +517,7 @@
     leader = name;
     ++term;
     for (const auto &each : members) {
-        each->held = 0;
+        each->pauseTerm = 0;
         replicate(*each);
     }
 }
@@ -542,10 +542,10 @@
 
 nlohmann::json LineGroup::registration(const std::string &member) const
 {
-    const auto place = std::ranges::find(m_impl->options.members, member) - m_impl->options.members.begin();
+    const auto memberIndex = std::ranges::find(m_impl->options.members, member) - m_impl->options.members.begin();
     return {{"service", m_impl->options.service},
             {"address", address(member)},
-            {"zone", m_impl->options.zones.at(static_cast<std::size_t>(place))},
+            {"zone", m_impl->options.zones.at(static_cast<std::size_t>(memberIndex))},
             {"version", "v1"},
             {"slots", m_impl->options.slots},
             {"state", "ready"},
@@ -572,19 +572,19 @@
             return false;
         }
         auto timer = std::make_shared<Timer>(m_impl->io, m_impl->options.promoteDelay);
-        timer->async_wait([impl = m_impl.get(), timer, member](const error_code &) { impl->lead(member); });
+        timer->async_wait([impl = m_impl.get(), timer, member](const error_code &) { impl->makePrimary(member); });
         return true;
     });
 }
 
 bool LineGroup::isPaused(const std::string &member) const
 {
-    return m_impl->run([&] { return m_impl->member(member).held != 0; });
+    return m_impl->run([&] { return m_impl->member(member).pauseTerm != 0; });
 }
 
 void LineGroup::pause(const std::string &member, Term term)
 {
-    m_impl->run([&] { m_impl->member(member).held = term; });
+    m_impl->run([&] { m_impl->member(member).pauseTerm = term; });
 }
 
 void LineGroup::setLag(milliseconds lag)
--- a/testing/platform/linegroup.h
+++ b/testing/platform/linegroup.h
@@ -76,13 +76,14 @@
     void pause(const std::string &member, Term term);
 
     void setLag(milliseconds lag);
-    // While dark, a member is isolated: it answers nothing, accepts no connections and
-    // receives no replicated writes.
+    // While dark, a member is isolated: it answers nothing, closes new connections and takes no
+    // part in replication.
     void setDark(const std::string &member, bool dark);
     // The member runs its next `count` statements but closes their connections without
     // an answer.
     void loseNextAnswers(const std::string &member, int count);
-    // The member answers BUSY to its next `count` statements, reads and writes alike.
+    // The member answers BUSY to its next `count` statements that need a slot, reads and
+    // writes alike, except STATUS.
     void refuseNext(const std::string &member, int count);
     // Closes all connections of a member.
     void dropConnections(const std::string &member);
--- a/testing/platform/platformstandin.cpp
+++ b/testing/platform/platformstandin.cpp
@@ -180,22 +180,22 @@
     int answersToLose = 0;
     int callsToFail = 0;
     bool downAfterNextChange = false;
-    int callsToRefuse = 0;
+    int callsToRateLimit = 0;
     int changesToDelay = 0;
     KindStore kinds;
     KindStore copy;
     // The store epoch sent with every answer; empty sends none.
     std::string epoch;
     bool restoresBeforeNextPage = false;
-    std::vector<std::function<void()>> lateChanges;
+    std::vector<std::function<void()>> delayedChanges;
     std::function<bool(const PromotionOrder &)> promote;
     std::function<void(const json &)> members;
     std::vector<PromotionOrder> promotions;
     // The highest fencing token received for each service.
     std::map<std::string, std::uint64_t> fences;
 
-    void wakeKindWatches();
-    void cutKindWatches();
+    void completeKindWatches();
+    void closeKindWatches();
     void restoreCopy();
     // Handles one call; Wait means that `finish` runs later.
     Outcome handle(const Request &request, const std::function<void(Outcome)> &finish);
@@ -230,7 +230,7 @@
     void addWatch(const std::string &key, std::uint64_t afterVersion, milliseconds wait,
                   const std::function<void(Outcome)> &finish);
     void finishWatch(std::uint64_t id, const Outcome &outcome);
-    void wakeWatches(const std::string &key);
+    void completeWatches(const std::string &key);
 
     asio::io_context m_context;
     tcp::acceptor m_acceptor;
@@ -267,28 +267,28 @@
             if (!error) {
                 self->m_idle = false;
                 self->m_request = self->m_parser->release();
-                self->delayed();
+                self->processAfterDelay();
             }
         });
     }
 
 private:
-    void delayed()
+    void processAfterDelay()
     {
         const bool admin = m_request.target().starts_with("/admin");
         if (admin || m_server.delay.count() == 0) {
-            decide();
+            process();
             return;
         }
         m_timer.expires_after(m_server.delay);
         m_timer.async_wait([self = shared_from_this()](const error_code &error) {
             if (!error) {
-                self->decide();
+                self->process();
             }
         });
     }
 
-    void decide()
+    void process()
     {
         const auto finish = [self = shared_from_this()](const Outcome &outcome) { self->send(outcome); };
         const Outcome outcome = m_server.handle(m_request, finish);
@@ -458,8 +458,8 @@
     if (down) {
         return Outcome{Outcome::Kind::Close, {}, {}};
     }
-    if (callsToRefuse > 0) {
-        --callsToRefuse;
+    if (callsToRateLimit > 0) {
+        --callsToRateLimit;
         return answer(http::status::too_many_requests, {{"error", "fault: too many calls"}});
     }
     if (callsToFail > 0) {
@@ -545,14 +545,14 @@
 {
     if (changesToDelay > 0) {
         --changesToDelay;
-        lateChanges.push_back([this, change] {
+        delayedChanges.push_back([this, change] {
             change();
-            wakeKindWatches();
+            completeKindWatches();
         });
         return {Outcome::Kind::Close, {}, {}};
     }
     KindAnswer result = change();
-    wakeKindWatches();
+    completeKindWatches();
     if (answersToLose > 0) {
         --answersToLose;
         return {Outcome::Kind::Close, {}, {}};
@@ -560,7 +560,7 @@
     return outcomeOf(std::move(result));
 }
 
-void PlatformStandIn::Server::wakeKindWatches()
+void PlatformStandIn::Server::completeKindWatches()
 {
     std::vector<std::pair<std::function<void(Outcome)>, Outcome>> due;
     for (auto watch = m_kindWatches.begin(); watch != m_kindWatches.end();) {
@@ -649,7 +649,7 @@
     if (!result.applied) {
         return answer(http::status::conflict, {{"key", key}, {"version", result.version}});
     }
-    wakeWatches(key);
+    completeWatches(key);
     if (std::exchange(downAfterNextChange, false)) {
         setDown(true);
     }
@@ -702,7 +702,7 @@
     finish(outcome);
 }
 
-void PlatformStandIn::Server::wakeWatches(const std::string &key)
+void PlatformStandIn::Server::completeWatches(const std::string &key)
 {
     const auto object = store.read(key);
     if (!object) {
@@ -723,10 +723,10 @@
 {
     kinds = copy;
     epoch = std::to_string(epoch.empty() ? 1 : std::stoull(epoch) + 1);
-    cutKindWatches();
+    closeKindWatches();
 }
 
-void PlatformStandIn::Server::cutKindWatches()
+void PlatformStandIn::Server::closeKindWatches()
 {
     for (auto &[id, watch] : std::exchange(m_kindWatches, {})) {
         watch.finish({Outcome::Kind::Close, {}, {}});
@@ -739,7 +739,7 @@
     if (!down) {
         return;
     }
-    cutKindWatches();
+    closeKindWatches();
     while (!m_watches.empty()) {
         finishWatch(m_watches.begin()->first, {Outcome::Kind::Close, {}, {}});
     }
@@ -757,7 +757,7 @@
 std::uint64_t PlatformStandIn::Server::put(const std::string &key, json value)
 {
     const std::uint64_t version = store.write(key, std::move(value), std::nullopt).version;
-    wakeWatches(key);
+    completeWatches(key);
     return version;
 }
 
@@ -825,7 +825,7 @@
 void PlatformStandIn::applyLate()
 {
     m_server->run([](Server &server) {
-        for (const auto &change : std::exchange(server.lateChanges, {})) {
+        for (const auto &change : std::exchange(server.delayedChanges, {})) {
             change();
         }
     });
@@ -833,14 +833,14 @@
 
 void PlatformStandIn::refuseNextCalls(int count)
 {
-    m_server->run([count](Server &server) { server.callsToRefuse = count; });
+    m_server->run([count](Server &server) { server.callsToRateLimit = count; });
 }
 
 void PlatformStandIn::forgetHistory()
 {
     m_server->run([](Server &server) {
         server.kinds.forgetHistory();
-        server.wakeKindWatches();
+        server.completeKindWatches();
     });
 }
 
@@ -891,7 +891,7 @@
         if (server.kinds.create(kind, object).status != static_cast<int>(http::status::ok)) {
             server.kinds.replace(kind, name, object);
         }
-        server.wakeKindWatches();
+        server.completeKindWatches();
     });
 }
 
@@ -899,7 +899,7 @@
 {
     m_server->run([&](Server &server) {
         server.kinds.remove(kind, name);
-        server.wakeKindWatches();
+        server.completeKindWatches();
     });
 }
 
--- a/testing/platform/platformstandin.h
+++ b/testing/platform/platformstandin.h
@@ -74,8 +74,8 @@
     void setDelay(milliseconds delay);
     // The next `count` changes take effect, but their connections close without an answer.
     void loseNextAnswers(int count);
-    // The next change takes effect, its connection closes without an answer, and the
-    // platform is down afterwards.
+    // The next change takes effect and is answered, unless loseNextAnswers() applies to
+    // it; the platform is down afterwards.
     void goDownAfterNextChange();
     // Closes idle connections, as a restart does.
     void dropConnections();
