--- a/testing/platform/platformstandin.cpp
+++ b/testing/platform/platformstandin.cpp
@@ -1,5 +1,5 @@
-// The stand-in's HTTP server: one thread, one session for each connection, one
-// call at a time in each session.
+// Implements the stand-in's HTTP server: one thread, one session per connection,
+// one call at a time per session.
 
 #include "testing/platform/platformstandin.h"
 
@@ -35,15 +35,15 @@
 namespace
 {
 
-// Room for a value of the largest size and its envelope; larger bodies are still
-// read, so that the caller gets its 413.
+// Exceeds the largest value plus its envelope, so that an oversized value is still
+// read and its caller receives 413.
 constexpr std::uint64_t BodyLimit = 16 * ObjectStore::MaxValueBytes;
 
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 using Query = std::map<std::string, std::string>;
 
-// What one call leads to.
+// The outcome of one call.
 struct Outcome {
     enum class Kind { Answer, Close, Wait };
     Kind kind = Kind::Answer;
@@ -56,7 +56,7 @@
     return {Outcome::Kind::Answer, static_cast<http::status>(reply.status), std::move(reply.body)};
 }
 
-// A watch on a kind that waits for a change.
+// A pending watch on a kind.
 struct KindWatch {
     std::string kind;
     std::uint64_t since = 0;
@@ -64,12 +64,12 @@
     std::unique_ptr<Timer> timer;
 };
 
-// A watch that waits for its object to change.
+// A pending watch on one object.
 struct Watch {
     std::string key;
     std::uint64_t afterVersion = 0;
     std::function<void(Outcome)> finish;
-    // Ends the watch when nothing changes.
+    // Ends the watch when no change occurs in time.
     std::unique_ptr<Timer> timer;
 };
 
@@ -152,8 +152,8 @@
 
 } // namespace
 
-// Everything here runs on the server's own thread, but for the constructor, the
-// destructor and run().
+// All members run on the server's own thread, except the constructor, the destructor
+// and run().
 class PlatformStandIn::Server
 {
 public:
@@ -180,24 +180,24 @@
     int answersToLose = 0;
     int callsToFail = 0;
     bool downAfterNextChange = false;
-    int callsToRefuse = 0;
+    int callsToRateLimit = 0;
     int changesToDelay = 0;
     KindStore kinds;
     KindStore copy;
-    // Named with every answer; empty for a store that names none.
+    // The store epoch sent with every answer; empty sends none.
     std::string epoch;
     bool restoresBeforeNextPage = false;
-    std::vector<std::function<void()>> lateChanges;
+    std::vector<std::function<void()>> delayedChanges;
     std::function<bool(const PromotionOrder &)> promote;
     std::function<void(const json &)> members;
     std::vector<PromotionOrder> promotions;
-    // The highest fencing token seen for each service.
+    // The highest fencing token received for each service.
     std::map<std::string, std::uint64_t> fences;
 
-    void wakeKindWatches();
-    void cutKindWatches();
+    void completeKindWatches();
+    void closeKindWatches();
     void restoreCopy();
-    // Decides one call; Wait means that `finish` is run later.
+    // Handles one call; Wait means that `finish` runs later.
     Outcome handle(const Request &request, const std::function<void(Outcome)> &finish);
     void setDown(bool isDown);
     void dropConnections();
@@ -225,19 +225,19 @@
     Outcome handleHosts();
     Outcome changed(const std::string &key, const ChangeResult &result);
     void count(http::verb verb, const std::string &path, const Query &query);
-    // What the switched-on faults make of the next call; nothing when it may go on.
+    // The outcome that active faults impose on the next call; nullopt when it proceeds.
     std::optional<Outcome> fault();
     void addWatch(const std::string &key, std::uint64_t afterVersion, milliseconds wait,
                   const std::function<void(Outcome)> &finish);
     void finishWatch(std::uint64_t id, const Outcome &outcome);
-    void wakeWatches(const std::string &key);
+    void completeWatches(const std::string &key);
 
     asio::io_context m_context;
     tcp::acceptor m_acceptor;
     std::map<std::uint64_t, Watch> m_watches;
     std::map<std::uint64_t, KindWatch> m_kindWatches;
     std::uint64_t m_lastWatch = 0;
-    // Those that are gone are removed as new ones come.
+    // Expired entries are removed when new sessions are added.
     std::vector<std::weak_ptr<Session>> m_sessions;
     std::thread m_thread;
 };
@@ -267,28 +267,28 @@
             if (!error) {
                 self->m_idle = false;
                 self->m_request = self->m_parser->release();
-                self->delayed();
+                self->processAfterDelay();
             }
         });
     }
 
 private:
-    void delayed()
+    void processAfterDelay()
     {
         const bool admin = m_request.target().starts_with("/admin");
         if (admin || m_server.delay.count() == 0) {
-            decide();
+            process();
             return;
         }
         m_timer.expires_after(m_server.delay);
         m_timer.async_wait([self = shared_from_this()](const error_code &error) {
             if (!error) {
-                self->decide();
+                self->process();
             }
         });
     }
 
-    void decide()
+    void process()
     {
         const auto finish = [self = shared_from_this()](const Outcome &outcome) { self->send(outcome); };
         const Outcome outcome = m_server.handle(m_request, finish);
@@ -327,7 +327,7 @@
     std::optional<http::request_parser<http::string_body>> m_parser;
     Request m_request;
     Response m_response;
-    // True while it waits for a call.
+    // True while the session is idle, waiting for a call.
     bool m_idle = false;
 };
 
@@ -458,8 +458,8 @@
     if (down) {
         return Outcome{Outcome::Kind::Close, {}, {}};
     }
-    if (callsToRefuse > 0) {
-        --callsToRefuse;
+    if (callsToRateLimit > 0) {
+        --callsToRateLimit;
         return answer(http::status::too_many_requests, {{"error", "fault: too many calls"}});
     }
     if (callsToFail > 0) {
@@ -545,14 +545,14 @@
 {
     if (changesToDelay > 0) {
         --changesToDelay;
-        lateChanges.push_back([this, change] {
+        delayedChanges.push_back([this, change] {
             change();
-            wakeKindWatches();
+            completeKindWatches();
         });
         return {Outcome::Kind::Close, {}, {}};
     }
     KindAnswer result = change();
-    wakeKindWatches();
+    completeKindWatches();
     if (answersToLose > 0) {
         --answersToLose;
         return {Outcome::Kind::Close, {}, {}};
@@ -560,7 +560,7 @@
     return outcomeOf(std::move(result));
 }
 
-void PlatformStandIn::Server::wakeKindWatches()
+void PlatformStandIn::Server::completeKindWatches()
 {
     std::vector<std::pair<std::function<void(Outcome)>, Outcome>> due;
     for (auto watch = m_kindWatches.begin(); watch != m_kindWatches.end();) {
@@ -649,7 +649,7 @@
     if (!result.applied) {
         return answer(http::status::conflict, {{"key", key}, {"version", result.version}});
     }
-    wakeWatches(key);
+    completeWatches(key);
     if (std::exchange(downAfterNextChange, false)) {
         setDown(true);
     }
@@ -702,7 +702,7 @@
     finish(outcome);
 }
 
-void PlatformStandIn::Server::wakeWatches(const std::string &key)
+void PlatformStandIn::Server::completeWatches(const std::string &key)
 {
     const auto object = store.read(key);
     if (!object) {
@@ -723,10 +723,10 @@
 {
     kinds = copy;
     epoch = std::to_string(epoch.empty() ? 1 : std::stoull(epoch) + 1);
-    cutKindWatches();
+    closeKindWatches();
 }
 
-void PlatformStandIn::Server::cutKindWatches()
+void PlatformStandIn::Server::closeKindWatches()
 {
     for (auto &[id, watch] : std::exchange(m_kindWatches, {})) {
         watch.finish({Outcome::Kind::Close, {}, {}});
@@ -739,7 +739,7 @@
     if (!down) {
         return;
     }
-    cutKindWatches();
+    closeKindWatches();
     while (!m_watches.empty()) {
         finishWatch(m_watches.begin()->first, {Outcome::Kind::Close, {}, {}});
     }
@@ -757,7 +757,7 @@
 std::uint64_t PlatformStandIn::Server::put(const std::string &key, json value)
 {
     const std::uint64_t version = store.write(key, std::move(value), std::nullopt).version;
-    wakeWatches(key);
+    completeWatches(key);
     return version;
 }
 
@@ -825,7 +825,7 @@
 void PlatformStandIn::applyLate()
 {
     m_server->run([](Server &server) {
-        for (const auto &change : std::exchange(server.lateChanges, {})) {
+        for (const auto &change : std::exchange(server.delayedChanges, {})) {
             change();
         }
     });
@@ -833,14 +833,14 @@
 
 void PlatformStandIn::refuseNextCalls(int count)
 {
-    m_server->run([count](Server &server) { server.callsToRefuse = count; });
+    m_server->run([count](Server &server) { server.callsToRateLimit = count; });
 }
 
 void PlatformStandIn::forgetHistory()
 {
     m_server->run([](Server &server) {
         server.kinds.forgetHistory();
-        server.wakeKindWatches();
+        server.completeKindWatches();
     });
 }
 
@@ -891,7 +891,7 @@
         if (server.kinds.create(kind, object).status != static_cast<int>(http::status::ok)) {
             server.kinds.replace(kind, name, object);
         }
-        server.wakeKindWatches();
+        server.completeKindWatches();
     });
 }
 
@@ -899,7 +899,7 @@
 {
     m_server->run([&](Server &server) {
         server.kinds.remove(kind, name);
-        server.wakeKindWatches();
+        server.completeKindWatches();
     });
 }
 
