--- a/testing/upstream/evaluation.cpp
+++ b/testing/upstream/evaluation.cpp
@@ -1,4 +1,4 @@
-// Walks expressions and conditions.
+// Recursive evaluation of expressions and conditions.
 
 #include "testing/upstream/evaluation.h"
 
--- a/testing/upstream/evaluation.h
+++ b/testing/upstream/evaluation.h
@@ -1,4 +1,4 @@
-// The values of expressions and the truth of conditions, by SQL's rules for NULL.
+// Evaluates expressions and conditions under SQL's rules for NULL.
 
 #pragma once
 
@@ -18,14 +18,14 @@
     const Row *row = nullptr;
 };
 
-// SQL's third truth value, unknown, is nothing.
+// nullopt is SQL's third truth value, unknown.
 using Truth = std::optional<bool>;
 
 // Throws 42703 for a column that the scope does not have, 42P02 for a parameter
-// that was not given, and 22003 or 22P02 for numbers out of range or misspelt.
+// that was not given, 22003 for a number out of range and 22P02 for a malformed one.
 Value evaluate(const Expression &expression, const Scope &scope);
 
-// The value of an expression without columns; throws 42703 when it has some.
+// The value of an expression without columns; throws 42703 when it refers to one.
 Value evaluateConstant(const Expression &expression, const std::vector<Value> &parameters);
 
 // Throws as evaluate() does.
--- a/testing/upstream/executor.cpp
+++ b/testing/upstream/executor.cpp
@@ -1,4 +1,5 @@
-// One function for each kind of statement, and what Describe needs to know of it.
+// One function for each kind of statement, and the column and parameter types that
+// Describe reports.
 
 #include "testing/upstream/executor.h"
 
@@ -169,7 +170,7 @@
     }
 }
 
-// Runs one statement; the overloads are one for each kind.
+// Runs one statement, with one overload for each kind.
 class Executor
 {
 public:
@@ -320,7 +321,7 @@
         return selected;
     }
 
-    // A lock is a write that changes nothing: the first to commit wins.
+    // FOR UPDATE is a write that changes nothing: the first transaction to commit wins.
     void lockRows(const std::string &table, const TableView &view, const std::map<RowId, const Row *> &rows)
     {
         for (const auto &[id, row] : rows) {
@@ -373,7 +374,7 @@
     Transaction &m_transaction;
 };
 
-// Notes what each parameter stands beside.
+// Infers each parameter's type from the column that it is compared with or stored in.
 class ParameterTyper
 {
 public:
--- a/testing/upstream/executor.h
+++ b/testing/upstream/executor.h
@@ -1,5 +1,5 @@
-// Runs the statements that touch tables: inside one transaction, against the
-// committed tables as they are now and the transaction's own writes.
+// Executes the statements that access tables: inside one transaction, against the
+// currently committed tables and the transaction's own writes.
 
 #pragma once
 
@@ -30,12 +30,12 @@
 std::vector<ResultColumn> resultColumns(const Statement &statement, const TableSet &tables, const Transaction &transaction);
 
 // The types that the `count` parameters of a statement are compared with or stored
-// as; text where nothing tells.
+// as; text where the type cannot be inferred.
 std::vector<ColumnType> parameterTypes(const Statement &statement, int count, const TableSet &tables,
                                        const Transaction &transaction);
 
-// Runs one statement. Its writes go to `transaction` alone. Throws SqlError and
-// then leaves `transaction` in a state that only a rollback may follow.
+// Runs one statement. Its writes go only to `transaction`. After a thrown SqlError,
+// `transaction` can only be rolled back.
 StatementResult executeStatement(const Statement &statement, const std::vector<Value> &parameters, GroupMember &member,
                                  Transaction &transaction);
 
--- a/testing/upstream/groupmember.cpp
+++ b/testing/upstream/groupmember.cpp
@@ -103,7 +103,7 @@
 
 bool GroupMember::follow(Term term, const std::string &token, const std::string &address)
 {
-    // A primary never follows its own term: it would drop what it acknowledged.
+    // A primary never follows its own term: it would drop entries that it acknowledged.
     if (term < m_promisedTerm || (isPrimary() && term == m_followingTerm)) {
         return false;
     }
@@ -184,8 +184,8 @@
 
 bool GroupMember::receive(LogMark after, const LogAnswer &answer, TimePoint now)
 {
-    // An old primary that woke up still serves its log. Taking its entries would
-    // add to a log that a promoter has already counted.
+    // An old primary that resumes still serves its log. Accepting its entries would
+    // extend a log that a promoter has already counted.
     const bool isFollowed = m_followingTerm != 0 && answer.senderTerm == m_followingTerm && answer.senderTerm >= m_promisedTerm;
     const bool isTaken = isFollowed || (m_faults.takesOldEntries && answer.senderTerm != 0);
     if (m_role != UpstreamRole::Replica || !isTaken) {
@@ -201,8 +201,8 @@
         if (entry.mark.position <= m_log.size() && markAt(entry.mark.position) == entry.mark) {
             continue;
         }
-        // Only at a conflict: an answer that comes late must not take back entries
-        // that a newer one has brought.
+        // Truncates only at a conflict: a late answer must not remove entries that a
+        // newer one has added.
         truncate(entry.mark.position - 1);
         m_log.push_back(entry);
         m_receivedAt.push_back(now);
--- a/testing/upstream/replicator.cpp
+++ b/testing/upstream/replicator.cpp
@@ -1,4 +1,4 @@
-// A client of group_log().
+// Polls the primary's group_log().
 
 #include "testing/upstream/replicator.h"
 
@@ -76,8 +76,8 @@
     return answer;
 }
 
-// One connection to one primary; a restart replaces it, and handlers of a replaced
-// link find that it is not current.
+// One connection to one primary. A restart replaces it; handlers check isCurrent() and
+// ignore a replaced link.
 struct Replicator::Link {
     explicit Link(boost::asio::io_context &io) : socket(io), timer(io)
     {
@@ -88,9 +88,9 @@
     std::array<char, 16384> buffer{};
     pg::FrameReader reader;
     std::string writing;
-    // What the last question asked for.
+    // The position that the last request asked from.
     LogMark after;
-    // Where to ask from after a mismatch; nothing for the end of the own log.
+    // Where to ask from after a mismatch; nullopt for the end of the own log.
     std::optional<Position> resumeAfter;
     std::vector<std::vector<std::optional<std::string>>> rows;
     bool isAsking = false;
--- a/testing/upstream/replicator.h
+++ b/testing/upstream/replicator.h
@@ -1,5 +1,5 @@
-// The receiving side of replication: asks the primary for its log over PostgreSQL
-// v3, again and again, and hands the answers to the group member.
+// The receiving side of replication: polls the primary for its log over PostgreSQL
+// v3 and passes the answers to the group member.
 
 #pragma once
 
@@ -34,8 +34,7 @@
     Replicator(const Replicator &) = delete;
     Replicator &operator=(const Replicator &) = delete;
 
-    // Drops the link and begins anew with the primary that the member follows now,
-    // if any.
+    // Drops the link and connects to the primary that the member follows now, if any.
     void restart();
 
 private:
@@ -53,7 +52,7 @@
     bool isCurrent(const std::shared_ptr<Link> &link) const;
 
     Server &m_server;
-    // Null while the member follows nobody.
+    // Null while the member follows no primary.
     std::shared_ptr<Link> m_link;
 };
 
--- a/testing/upstream/server.cpp
+++ b/testing/upstream/server.cpp
@@ -1,4 +1,4 @@
-// Listener, faults, replay and the functions that SQL can call.
+// Listener, fault injection, replay and the functions callable from SQL.
 
 #include "testing/upstream/server.h"
 
@@ -44,7 +44,7 @@
 
 using Setting = std::function<void(UpstreamOptions &, std::int64_t)>;
 
-// What standin_set() changes in the options.
+// The options that standin_set() can change.
 const std::map<std::string, Setting> &settings()
 {
     static const std::map<std::string, Setting> settings = {
@@ -202,7 +202,7 @@
 
 void Server::admit()
 {
-    // Room is checked before the delay, as a database checks before it forks.
+    // The limit is checked before the delay, as PostgreSQL checks it before it forks.
     if (m_options.refusesConnections) {
         ++m_counters.refusedConnections;
         throw SqlError("57P03", "the database system is not accepting connections");
@@ -255,7 +255,7 @@
         if (error) {
             return;
         }
-        // Waiting sessions whose caller has gone are let go of here.
+        // Releases waiting sessions whose caller has disconnected.
         wakeWaiters();
         tick();
     });
--- a/testing/upstream/server.h
+++ b/testing/upstream/server.h
@@ -45,7 +45,8 @@
 
     // Starts the thread.
     void run();
-    // Ends the thread, frozen or not, and closes all sockets, with a reset if wanted.
+    // Ends the thread, also while frozen, and closes all sockets; `reset` closes them
+    // with a TCP reset.
     void stop(bool reset);
     std::uint16_t port() const;
 
@@ -79,32 +80,32 @@
         return m_isCut;
     }
 
-    // Takes a new connection into the count, or throws what it is refused with.
+    // Counts a new connection, or throws the SqlError that refuses it.
     void admit();
     void leave();
     void forget(std::uint32_t processId);
     void cancel(std::uint32_t processId, std::uint32_t secretKey);
-    // Calls `wake` when the log has grown or the role has changed, and also now and
-    // then without reason.
+    // Calls `wake` when the log has grown or the role has changed; spurious calls are
+    // possible.
     void waitForEntries(std::function<void()> wake);
-    // Sets the replay going after entries were received.
+    // Schedules the replay of received entries.
     void replayLater();
 
     // Throws 42883 when there is no such function.
     std::vector<ResultColumn> functionColumns(const std::string &name) const;
     StatementResult callFunction(const std::string &name, const std::vector<Value> &arguments);
-    // Runs what a control function wanted done after its answer had left.
+    // Runs the actions that control functions deferred until their answer was sent.
     void runDeferred();
 
     // The control methods may be called from any thread.
     void freeze(bool frozen);
     // Runs `action` on the server's thread and waits for it, unless the server is
-    // frozen; then the action follows after the thaw.
+    // frozen; then the action runs after the freeze ends.
     void apply(std::function<void(Server &)> action);
-    // Runs `action` on the server's thread, also waiting for a thaw.
+    // Runs `action` on the server's thread and waits for it, also while frozen.
     void call(const std::function<void(Server &)> &action);
 
-    // For apply(): changes to the options take effect at once.
+    // For use within apply(); changes to the options take effect at once.
     void setCut(bool isCut);
     void change(const std::function<void(UpstreamOptions &)> &edit);
 
--- a/testing/upstream/session.cpp
+++ b/testing/upstream/session.cpp
@@ -124,7 +124,7 @@
 {
     m_isWriting = false;
     if (error) {
-        // The caller is gone; what it sent still runs, as in a database.
+        // The caller has disconnected; statements it sent still run, as in PostgreSQL.
         m_output.clear();
     }
     flush();
@@ -367,7 +367,7 @@
     return found->second;
 }
 
-// The types that the caller declared, and the inferred ones elsewhere.
+// The types that the caller declared, or the inferred ones where it declared none.
 std::vector<std::uint32_t> Session::typesOf(const Prepared &prepared) const
 {
     const ParsedText &text = *prepared.text;
@@ -488,7 +488,7 @@
     });
 }
 
-// Errors are answered here, since a statement often ends outside handle().
+// Sends errors to the caller here, since a statement often ends outside handle().
 void Session::finishRunning()
 {
     const Running running = std::move(m_running);
@@ -525,7 +525,7 @@
     return isWrite(statement) || std::holds_alternative<SelectStatement>(statement);
 }
 
-// A replica that has the whole log is answered once there is more.
+// Delays the answer to a replica that has the whole log until there are new entries.
 bool Session::waitsForLog(const Running &running)
 {
     const auto *function = std::get_if<FunctionStatement>(running.statement);
--- a/testing/upstream/session.h
+++ b/testing/upstream/session.h
@@ -31,9 +31,9 @@
     Session &operator=(const Session &) = delete;
 
     void start();
-    // Ends the statement that runs or queues now with SQLSTATE 57014, if the key fits.
+    // Ends the running or queued statement with SQLSTATE 57014, if the key matches.
     void cancel(std::uint32_t secretKey);
-    // Goes on with what was held back while the upstream was cut off.
+    // Continues with the reads and writes held back while the upstream was cut off.
     void resume();
     void close(bool reset);
 
@@ -119,14 +119,14 @@
     bool m_isWriting = false;
     bool m_isOpen = false;
     bool m_isCounted = false;
-    // No more bytes will come; what came is still run.
+    // The caller sends no more bytes; received messages are still processed.
     bool m_atEnd = false;
     bool m_isClosing = false;
     bool m_isClosed = false;
     // A read that ended while the upstream was cut off.
     std::optional<std::pair<boost::system::error_code, std::size_t>> m_heldRead;
-    // Set exactly while m_heldRead is: no pending read keeps the session alive then,
-    // and one that vanished would stay counted among the connections for ever.
+    // Set exactly while m_heldRead is set: no pending read keeps the session alive then,
+    // and a destroyed session would stay in the connection count permanently.
     std::shared_ptr<Session> m_heldSelf;
 
     std::map<std::string, Prepared> m_prepared;
--- a/testing/upstream/slotpool.cpp
+++ b/testing/upstream/slotpool.cpp
@@ -1,4 +1,4 @@
-// Counts running statements and hands freed slots on.
+// Counts running statements and assigns freed slots to queued ones.
 
 #include "testing/upstream/slotpool.h"
 
--- a/testing/upstream/slotpool.h
+++ b/testing/upstream/slotpool.h
@@ -1,5 +1,5 @@
-// The slots of one upstream: so many statements run at once, the others queue in
-// the order of their arrival.
+// The slots of one upstream: they limit the statements that run at once; further
+// statements queue in the order of arrival.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 class SlotPool
 {
 public:
-    // Names one submitted statement.
+    // Identifies one submitted statement.
     using Ticket = std::uint64_t;
 
     SlotPool(boost::asio::io_context &io, int slots);
@@ -30,9 +30,9 @@
     // Calls `done` once the statement has held a slot for `duration`, never from
     // within submit().
     Ticket submit(std::chrono::microseconds duration, std::function<void()> done);
-    // Forgets a statement; false when it is done already.
+    // Removes a statement; false when it is already done.
     bool cancel(Ticket ticket);
-    // Fewer slots take effect as running statements end.
+    // A lower number takes effect as running statements end.
     void setSlots(int slots);
     int queue() const
     {
@@ -62,7 +62,7 @@
     int m_running = 0;
     Ticket m_nextTicket = 1;
     std::map<Ticket, Job> m_jobs;
-    // Invariant: exactly the jobs without a timer.
+    // Invariant: holds exactly the jobs without a timer.
     std::deque<Ticket> m_queue;
 };
 
--- a/testing/upstream/sqlstatement.cpp
+++ b/testing/upstream/sqlstatement.cpp
@@ -17,7 +17,7 @@
 
 using Json = nlohmann::json;
 
-// Texts without parameters would otherwise grow the cache without end.
+// Bounds the cache: texts with literals instead of parameters would grow it without limit.
 constexpr std::size_t maxCachedTexts = 4096;
 
 [[noreturn]] void unsupported(const std::string &what)
@@ -59,7 +59,7 @@
     if (name == "int8" || name == "bigserial") {
         return ColumnType::Int8;
     }
-    // Every other type is carried as its text.
+    // Every other type is stored as text.
     return ColumnType::Text;
 }
 
@@ -553,7 +553,7 @@
             text.statements.push_back(statementOf(child(statement, "stmt")));
         }
     } catch (const Json::exception &) {
-        // A tree of another shape than expected is SQL that is not known here.
+        // An unexpected tree shape means unsupported SQL.
         unsupported("this form of the statement");
     }
     return text;
--- a/testing/upstream/sqlstatement.h
+++ b/testing/upstream/sqlstatement.h
@@ -1,6 +1,6 @@
-// The small part of SQL that the upstream stand-in understands, as typed values.
-// libpg_query, PostgreSQL's own parser, does the parsing; this file names what is
-// left of its tree, and anything else is refused with SQLSTATE 0A000.
+// The subset of SQL that the upstream stand-in supports, as typed values.
+// libpg_query, PostgreSQL's own parser, does the parsing; this file declares the
+// supported part of its tree. Anything else is refused with SQLSTATE 0A000.
 
 #pragma once
 
@@ -41,12 +41,12 @@
 enum class ColumnType : std::uint32_t { Int8 = 20, Int4 = 23, Text = 25 };
 
 bool isNull(const Value &value);
-// Nothing for NULL.
+// nullopt for NULL.
 std::optional<std::string> textOf(const Value &value);
-// Converts to a column's type; throws 22P02 when the text is no number and 22003
+// Converts to a column's type; throws 22P02 when the text is not a number and 22003
 // when the number does not fit.
 Value coerced(Value value, ColumnType type);
-// Orders two values that are not NULL; a text compared with an integer is read as one.
+// Orders two values that are not NULL; a text compared with an integer is parsed as one.
 int compareValues(const Value &left, const Value &right);
 
 struct Expression {
@@ -169,10 +169,10 @@
 };
 
 // The statements of one text; throws 42601 for bad syntax and 0A000 for what the
-// stand-in does not know.
+// stand-in does not support.
 ParsedText parseStatements(const std::string &sql);
 
-// Remembers parsed texts, since callers send the same few over and over.
+// Caches parsed texts, since callers send the same few texts repeatedly.
 class StatementCache
 {
 public:
--- a/testing/upstream/tables.cpp
+++ b/testing/upstream/tables.cpp
@@ -1,4 +1,4 @@
-// Rows, their indexes and the check that lets a transaction commit.
+// Rows, their indexes and the conflict check at commit.
 
 #include "testing/upstream/tables.h"
 
--- a/testing/upstream/tables.h
+++ b/testing/upstream/tables.h
@@ -1,5 +1,5 @@
 // The rows of one upstream, the changes that a log entry makes to them, and the
-// writes that a transaction keeps to itself until it commits.
+// uncommitted writes of a transaction.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 namespace egrettide::testing
 {
 
-// Identifies a row for as long as it lives, whatever its columns hold.
+// Identifies a row until it is deleted, regardless of its column values.
 using RowId = std::uint64_t;
 
 struct Change {
@@ -38,8 +38,8 @@
 std::string encodeChanges(const std::vector<Change> &changes);
 std::vector<Change> decodeChanges(const std::string &text);
 
-// The columns of one unique key as one text; nothing when one of them is NULL,
-// since NULLs never clash.
+// The columns of one unique key as one text; nullopt when one of them is NULL,
+// since NULLs never violate uniqueness.
 std::optional<std::string> uniqueKeyOf(const Row &row, const std::vector<std::size_t> &columns);
 
 // The committed rows of one table.
@@ -83,21 +83,21 @@
     // Null when there is no such table.
     const Table *find(const std::string &name) const;
     void apply(const LogEntry &entry);
-    // A number that no row here has had.
+    // A row id that has never been used in these tables.
     RowId newRowId();
 
 private:
     void apply(const Change &change, Position position);
 
     std::map<std::string, Table> m_tables;
-    // Invariant: above every row number seen in any entry.
+    // Invariant: greater than every row id in any applied entry.
     RowId m_nextRowId = 1;
 };
 
 struct RowWrite {
-    // What the row's version was when the transaction first wrote it, 0 for a new row.
+    // The row's version when the transaction first wrote it, 0 for a new row.
     Position baseVersion = 0;
-    // Nothing for a deleted row.
+    // nullopt for a deleted row.
     std::optional<Row> values;
 };
 
@@ -107,7 +107,7 @@
     std::map<RowId, RowWrite> rows;
 };
 
-// An open transaction: its writes stay here until the commit takes them all.
+// An open transaction: holds its writes until the commit applies all of them.
 struct Transaction {
     // The term it began under; it cannot commit under another one.
     Term term = 0;
@@ -121,7 +121,7 @@
 };
 
 // The changes that a transaction would commit now. Throws 40001 when a row it
-// wrote was committed by another one since, and 23505 when a key is taken.
+// wrote was committed by another one since, and 23505 when a unique key is taken.
 std::vector<Change> changesOf(const Transaction &transaction, const TableSet &tables);
 
 } // namespace egrettide::testing
--- a/testing/upstream/tableview.cpp
+++ b/testing/upstream/tableview.cpp
@@ -1,4 +1,4 @@
-// Scans, unique lookups and clashes over committed rows and own writes.
+// Scans, unique lookups and key conflicts over committed rows and own writes.
 
 #include "testing/upstream/tableview.h"
 
--- a/testing/upstream/tableview.h
+++ b/testing/upstream/tableview.h
@@ -15,11 +15,11 @@
 namespace egrettide::testing
 {
 
-// A table as one transaction sees it: committed rows under the transaction's own.
+// The committed rows of a table, overlaid with the transaction's own writes.
 class TableView
 {
 public:
-    // Keeps references to both; the view ends with the next change of either.
+    // Keeps references to both; a change to either invalidates the view.
     TableView(std::string name, const TableSet &tables, const Transaction &transaction);
 
     bool exists() const;
@@ -40,8 +40,8 @@
     bool clashesWithOwn(const std::vector<std::size_t> &columns, const Row &row, RowId id) const;
     void forEachOwn(const Visit &visit) const;
     void forEachCommitted(const std::optional<Condition> &where, const std::vector<Value> &parameters, const Visit &visit) const;
-    // The unique key that the condition pins to one value, if it does: then there
-    // is no need to scan the table.
+    // The unique key that the condition restricts to one value, if any; this avoids a
+    // table scan.
     std::optional<std::pair<std::size_t, std::string>> uniqueLookup(const std::optional<Condition> &where,
                                                                     const std::vector<Value> &parameters) const;
     std::optional<std::string> pinnedKey(const std::vector<std::size_t> &columns, const Condition &where,
--- a/testing/upstream/upstreamstandin.cpp
+++ b/testing/upstream/upstreamstandin.cpp
@@ -1,4 +1,4 @@
-// The public face of the stand-in: hands every call to the server's thread.
+// The public interface of the stand-in: forwards every call to the server's thread.
 
 #include "testing/upstream/upstreamstandin.h"
 
--- a/testing/upstream/upstreamstandin.h
+++ b/testing/upstream/upstreamstandin.h
@@ -1,7 +1,7 @@
 // A stand-in for one upstream of a database group: an in-memory store that speaks
 // PostgreSQL v3, replicates asynchronously and fails on demand. Tests run it in
-// process; the program `upstream` runs it on its own. All its state is in memory:
-// an upstream that is killed is gone and starts again empty.
+// process; the program `upstream` runs it standalone. All its state is in memory:
+// an upstream that is killed loses it and restarts empty.
 
 #pragma once
 
@@ -16,14 +16,14 @@
 namespace egrettide::testing
 {
 
-// Rules that a stand-in breaks on purpose, so that a proof can show that it would
-// notice.
+// Group rules that a stand-in violates on purpose, so that tests can show that their
+// checks detect the violation.
 struct GroupFaults {
     // Grants a promised term to a second token as well.
     bool grantsTermTwice = false;
-    // Takes entries from a primary whatever term that is of.
+    // Accepts entries from a primary of any term.
     bool takesOldEntries = false;
-    // Goes on as primary after promising a higher term.
+    // Stays primary after promising a higher term.
     bool ignoresFence = false;
 };
 
@@ -33,18 +33,18 @@
     std::string name = "upstream";
     std::string zone;
     std::string address = "127.0.0.1";
-    // 0 takes a free port.
+    // 0 selects a free port.
     std::uint16_t port = 0;
-    // Statements that run at once; more of them queue inside the upstream.
+    // Statements that run at once; further ones queue inside the upstream.
     int slots = 5;
     // Connections it accepts; one more is refused with SQLSTATE 53300. Connections
     // of following replicas do not count.
     int connections = 30;
     // How long a statement occupies its slot.
     std::chrono::microseconds serviceTime{0};
-    // How long it takes to let a new connection in.
+    // How long it takes to accept a new connection.
     milliseconds connectionDelay{0};
-    // How long a received entry waits until reads see it.
+    // How long after its receipt an entry becomes visible to reads.
     milliseconds replicationLag{0};
     // The lag during a burst; bursts come on average every `burstEvery` (0 for
     // never) and last `burstLength`.
@@ -58,7 +58,7 @@
     // Seeds the bursts.
     std::uint64_t seed = 1;
     GroupFaults faults;
-    // Above 0 it starts as the primary of this term.
+    // If above 0, it starts as the primary of this term.
     Term primaryTerm = 0;
     // "IP:port" of the primary to follow from the start.
     std::string follow;
@@ -94,20 +94,21 @@
     void start();
     // Closes every connection and ends the thread. The state is lost.
     void stop();
-    // As stop(), but resets the connections as the death of a host would.
+    // As stop(), but resets the connections as a host crash would.
     void kill();
 
     // The port it listens on, 0 before the first start(). It stays the same when
     // the stand-in is started again.
     std::uint16_t port() const;
-    // "IP:port", as configuration files and group_follow want it.
+    // "IP:port", as configuration files and group_follow expect it.
     std::string endpoint() const;
 
-    // Stops its thread as a paused process is stopped: it answers nothing, keeps
-    // its sockets and afterwards goes on with what it believed.
+    // Suspends its thread like a paused process: it answers nothing, keeps its sockets
+    // and afterwards continues with its old state.
     void freeze(bool frozen);
-    // Cuts it off the network: nothing goes in or out, no connection is accepted,
-    // yet it keeps running what it had received. Held bytes flow again afterwards.
+    // Partitions it from the network: no bytes go in or out and no connection is
+    // accepted, but it still runs the statements it has received. Held bytes are
+    // delivered afterwards.
     void cut(bool isCut);
     void setReplicationLag(milliseconds lag);
     void setReceiveDelay(milliseconds delay);
--- a/testing/upstream/valuecodec.h
+++ b/testing/upstream/valuecodec.h
@@ -1,4 +1,4 @@
-// Values, parameters and row descriptions as they go over the wire.
+// Wire encoding of values, parameters and row descriptions.
 
 #pragma once
 
@@ -12,14 +12,14 @@
 namespace egrettide::testing
 {
 
-// The length that stands for NULL.
+// The length field that encodes NULL.
 constexpr std::uint32_t nullLength = 0xffffffffU;
 
 // One format for all columns, one for each, or none for text everywhere.
 std::uint16_t formatAt(const std::vector<std::uint16_t> &formats, std::size_t index);
 
 // The value of a parameter; `type` is a type OID. Throws 22P03 when a binary integer
-// has an odd size.
+// has an unexpected size.
 Value parameterOf(std::string_view bytes, std::uint16_t format, std::uint32_t type);
 
 // Appends a column of a DataRow, with its length.
--- a/tests/runtime/upstreamstandin_test.cpp
+++ b/tests/runtime/upstreamstandin_test.cpp
@@ -225,9 +225,8 @@
 
 BOOST_AUTO_TEST_CASE(TheFirstToCommitARowWins)
 {
-    // Symptom: two desks move the same booking and one change is lost.
-    // Sequence: both transactions update the row, then both commit.
-    // Cause: the second was computed from a row that no longer is.
+    // Guards against a lost update: two transactions update the same row and both
+    // commit, the second one with values computed from an outdated row.
     const Connection first = connected(primary);
     const Connection second = connected(primary);
     mustRun(first, "INSERT INTO booking VALUES (1, 'Roy', 0)");
@@ -465,9 +464,9 @@
 
 BOOST_AUTO_TEST_CASE(AFencedPrimaryReadsButNeverCommits)
 {
-    // Symptom: a booking is acknowledged by a primary that has been replaced.
-    // Sequence: a transaction writes, the primary is fenced, the transaction commits.
-    // Cause: a check at the write alone misses a fence that comes before the commit.
+    // Guards against a commit acknowledged by a replaced primary: the primary is fenced
+    // between a transaction's write and its commit, so a check at the write alone
+    // misses the fence.
     const Connection family = connected(primary);
     mustRun(family, "INSERT INTO booking VALUES (1, 'Roy', 0)");
     mustRun(family, "BEGIN");
@@ -482,9 +481,8 @@
 
 BOOST_AUTO_TEST_CASE(ATransactionNeverCommitsUnderALaterTerm)
 {
-    // Symptom: a transaction survives its primary's fall and return.
-    // Sequence: it writes under term 1, the same upstream is fenced and promoted at 2.
-    // Cause: the role alone looks right again at the commit.
+    // Guards against a transaction that writes under term 1 and commits after the same
+    // upstream was fenced and promoted at term 2: a check of the role alone passes.
     const Connection family = connected(primary);
     mustRun(family, "BEGIN");
     mustRun(family, "INSERT INTO booking VALUES (2, 'Roy', 0)");
@@ -502,7 +500,7 @@
     BOOST_REQUIRE(caughtUp(c, primary));
     BOOST_TEST(b.status().received == promised);
     BOOST_TEST(b.status().followingTerm == 0U);
-    // Told to follow term 2, it also refuses a primary that still is of term 1.
+    // After an order to follow term 2, it also refuses a primary that is still of term 1.
     BOOST_TEST(granted(b, "group_follow(2, 'x', '" + primary.endpoint() + "')") == "t");
     mustRun(connected(primary), "INSERT INTO booking VALUES (2, 'Roy', 0)");
     BOOST_REQUIRE(caughtUp(c, primary));
@@ -511,10 +509,9 @@
 
 BOOST_AUTO_TEST_CASE(FollowingTruncatesADivergedSuffix)
 {
-    // Symptom: a replaced primary shows bookings that no other member has.
-    // Sequence: the primary is cut off and commits twice more; b and c move to term 2
-    // and commit another booking; the old primary returns and follows b.
-    // Cause: its log has a suffix that the group never confirmed.
+    // Guards against a replaced primary that shows bookings no other member has: it is
+    // cut off and commits twice more, b and c move to term 2 and commit another booking,
+    // then the old primary follows b. Its log has a suffix that the group never confirmed.
     const Connection caller = connected(primary);
     mustRun(caller, "INSERT INTO booking VALUES (1, 'Roy', 0)");
     BOOST_REQUIRE(caughtUp(b, primary));
@@ -535,11 +532,10 @@
     BOOST_TEST(stateOf(connected(b), "INSERT INTO booking VALUES (2, 'Roy', 0)") == "23505");
 }
 
-BOOST_AUTO_TEST_CASE(AFrozenPrimaryWakesUpStillBelieving)
+BOOST_AUTO_TEST_CASE(AResumedPrimaryStillActsAsPrimary)
 {
-    // Symptom: a paused primary goes on as primary after it was replaced.
-    // Sequence: it freezes, the others move to term 2, it wakes up.
-    // Cause: it cannot know; only the others' promises make its writes worthless.
+    // A primary that is suspended while the others move to term 2 still acts as primary
+    // when it resumes. Only the other members' promises keep its writes from replicating.
     const Connection caller = connected(primary);
     const Connection idle = connected(b);
     primary.freeze(true);
@@ -563,7 +559,7 @@
     BOOST_REQUIRE_EQUAL(PQsendQuery(caller.get(), "INSERT INTO booking VALUES (1, 'Roy', 0)"), 1);
     BOOST_REQUIRE(eventually([&] { return primary.statistics().statements >= 2; }));
     primary.cut(true);
-    // It runs what it had received, yet no one hears of it.
+    // It runs the statement it has received, but the answer is held back.
     BOOST_REQUIRE(eventually([&] { return primary.status().received > b.status().received; }));
     BOOST_TEST(!isReadable(caller, milliseconds{50}));
     primary.cut(false);
