--- a/testing/upstream/executor.cpp
+++ b/testing/upstream/executor.cpp
@@ -106,7 +106,7 @@
     Row row;
     for (const OutputColumn &output : outputs) {
         if (!isAggregate(output)) {
-            throw SqlError("42803", "columns beside an aggregate function need GROUP BY, which the stand-in does not know");
+            throw SqlError("42803", "columns beside an aggregate function need GROUP BY, which the stand-in does not support");
         }
         row.push_back(aggregate(output, rows, scope));
     }
@@ -207,7 +207,7 @@
         for (const auto &expressions : insert.rows) {
             const Row row = insertedRow(insert, schema, expressions);
             const RowId id = m_member.newRowId();
-            if (viewOf(insert.table).clashes(id, row)) {
+            if (viewOf(insert.table).hasKeyConflict(id, row)) {
                 if (insert.onConflictDoNothing) {
                     continue;
                 }
@@ -234,7 +234,7 @@
             addReturned(result, update.returning, schema, row);
         }
         for (const auto &[id, row] : changed) {
-            if (viewOf(update.table).clashes(id, row)) {
+            if (viewOf(update.table).hasKeyConflict(id, row)) {
                 refuseDuplicate(update.table);
             }
         }
@@ -285,7 +285,7 @@
 
     template <typename Other> StatementResult operator()(const Other &)
     {
-        throw SqlError("XX000", "this statement does not belong to the executor");
+        throw SqlError("XX000", "the executor does not handle this kind of statement");
     }
 
 private:
@@ -334,7 +334,7 @@
     {
         const std::size_t expected = insert.columns.empty() ? schema.columns.size() : insert.columns.size();
         if (expressions.size() > expected || (!insert.columns.empty() && expressions.size() != expected)) {
-            throw SqlError("42601", "INSERT has another number of expressions than of target columns");
+            throw SqlError("42601", "the number of INSERT expressions differs from the number of target columns");
         }
         Row row(schema.columns.size());
         for (std::size_t i = 0; i < expressions.size(); ++i) {
@@ -375,74 +375,74 @@
 };
 
 // Infers each parameter's type from the column that it is compared with or stored in.
-class ParameterTyper
+class ParameterTypeInference
 {
 public:
-    explicit ParameterTyper(std::vector<ColumnType> &types) : m_types(types)
+    explicit ParameterTypeInference(std::vector<ColumnType> &types) : m_types(types)
     {
     }
 
-    void note(const Expression &expression, ColumnType type)
+    void infer(const Expression &expression, ColumnType type)
     {
         if (expression.kind == Expression::Kind::Parameter && expression.parameter > 0) {
             m_types[static_cast<std::size_t>(expression.parameter) - 1] = expression.cast.value_or(type);
         }
         for (const Expression &operand : expression.operands) {
-            note(operand, type);
+            infer(operand, type);
         }
     }
 
-    void note(const std::optional<Condition> &condition, const TableSchema &schema)
+    void infer(const std::optional<Condition> &condition, const TableSchema &schema)
     {
         if (!condition) {
             return;
         }
         for (const Condition &part : condition->children) {
-            note(std::optional<Condition>(part), schema);
+            infer(std::optional<Condition>(part), schema);
         }
         if (condition->operands.empty()) {
             return;
         }
         const ColumnType type = typeOf(condition->operands.front(), &schema);
         for (const Expression &operand : condition->operands) {
-            note(operand, type);
+            infer(operand, type);
         }
     }
 
-    void note(const InsertStatement &insert, const TableSchema &schema)
+    void infer(const InsertStatement &insert, const TableSchema &schema)
     {
         for (const auto &row : insert.rows) {
             for (std::size_t i = 0; i < row.size(); ++i) {
                 const std::size_t column = insert.columns.empty() ? i : schema.columnNumber(insert.columns.at(i));
-                note(row[i], schema.columns.at(column).type);
+                infer(row[i], schema.columns.at(column).type);
             }
         }
     }
 
-    void note(const UpdateStatement &update, const TableSchema &schema)
+    void infer(const UpdateStatement &update, const TableSchema &schema)
     {
         for (const auto &[name, expression] : update.assignments) {
-            note(expression, schema.columns[schema.columnNumber(name)].type);
+            infer(expression, schema.columns[schema.columnNumber(name)].type);
         }
-        note(update.where, schema);
+        infer(update.where, schema);
     }
 
-    void note(const SelectStatement &select, const TableSchema &schema)
+    void infer(const SelectStatement &select, const TableSchema &schema)
     {
         for (const OutputColumn &output : select.output) {
-            note(output.expression, ColumnType::Text);
+            infer(output.expression, ColumnType::Text);
         }
-        note(select.where, schema);
+        infer(select.where, schema);
         for (const auto &bound : {select.limit, select.offset}) {
             if (bound) {
-                note(*bound, ColumnType::Int8);
+                infer(*bound, ColumnType::Int8);
             }
         }
     }
 
-    void note(const DeleteStatement &statement, const TableSchema &schema)
+    void infer(const DeleteStatement &statement, const TableSchema &schema)
     {
-        note(statement.where, schema);
+        infer(statement.where, schema);
     }
 
 private:
@@ -479,19 +479,19 @@
                                        const Transaction &transaction)
 {
     std::vector<ColumnType> types(static_cast<std::size_t>(count), ColumnType::Text);
-    ParameterTyper typer(types);
-    const auto note = [&](const auto &typed) {
+    ParameterTypeInference inference(types);
+    const auto infer = [&](const auto &typed) {
         using Type = std::decay_t<decltype(typed)>;
         if constexpr (std::is_same_v<Type, SelectStatement> || ReturnsRows<Type>) {
             const bool hasTable = !typed.table.empty();
-            typer.note(typed, hasTable ? TableView(typed.table, tables, transaction).schema() : TableSchema());
+            inference.infer(typed, hasTable ? TableView(typed.table, tables, transaction).schema() : TableSchema());
         } else if constexpr (std::is_same_v<Type, FunctionStatement>) {
             for (const Expression &argument : typed.arguments) {
-                typer.note(argument, ColumnType::Text);
+                inference.infer(argument, ColumnType::Text);
             }
         }
     };
-    std::visit(note, statement);
+    std::visit(infer, statement);
     return types;
 }
 
--- a/testing/upstream/groupmember.cpp
+++ b/testing/upstream/groupmember.cpp
@@ -111,11 +111,11 @@
         m_promisedTerm = term;
         m_promisedTo = token;
     }
-    const bool isNews = m_followingTerm != term || m_primaryAddress != address;
+    const bool hasChanged = m_followingTerm != term || m_primaryAddress != address;
     m_role = UpstreamRole::Replica;
     m_followingTerm = term;
     m_primaryAddress = address;
-    if (isNews) {
+    if (hasChanged) {
         m_onFollow();
     }
     return true;
--- a/testing/upstream/main.cpp
+++ b/testing/upstream/main.cpp
@@ -25,18 +25,19 @@
     options::options_description described("Options");
     auto add = described.add_options();
     add("help", "show this help");
-    add("listen", options::value<std::string>()->default_value("127.0.0.1:0"), "IP:PORT; port 0 takes a free one");
-    add("name", options::value<std::string>()->default_value("upstream"), "the name that group_status() answers");
+    add("listen", options::value<std::string>()->default_value("127.0.0.1:0"), "IP:PORT; port 0 selects a free one");
+    add("name", options::value<std::string>()->default_value("upstream"), "the name that group_status() reports");
     add("zone", options::value<std::string>()->default_value(""), "its availability zone");
     add("slots", options::value<int>()->default_value(5), "statements that run at once");
     add("connections", options::value<int>()->default_value(30), "connections that it accepts");
     add("service-us", options::value<std::int64_t>()->default_value(0), "microseconds that a statement holds its slot");
     add("connection-delay-ms", options::value<std::int64_t>()->default_value(0), "milliseconds to open a connection");
-    add("lag-ms", options::value<std::int64_t>()->default_value(0), "milliseconds from receiving an entry to showing it");
+    add("lag-ms", options::value<std::int64_t>()->default_value(0), "milliseconds until a received entry is visible to reads");
     add("burst-lag-ms", options::value<std::int64_t>()->default_value(0), "the lag during a burst");
     add("burst-every-ms", options::value<std::int64_t>()->default_value(0), "mean time between bursts, 0 for none");
     add("burst-length-ms", options::value<std::int64_t>()->default_value(0), "how long a burst lasts");
-    add("receive-delay-ms", options::value<std::int64_t>()->default_value(0), "pause before asking the primary for more");
+    add("receive-delay-ms", options::value<std::int64_t>()->default_value(0),
+        "pause before requesting more entries from the primary");
     add("seed", options::value<std::uint64_t>()->default_value(1), "seeds the bursts");
     add("primary-term", options::value<std::uint64_t>()->default_value(0), "start as the primary of this term");
     add("follow", options::value<std::string>()->default_value(""), "start as a replica of the primary at IP:PORT");
--- a/testing/upstream/replicator.cpp
+++ b/testing/upstream/replicator.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t maxEntries = 500;
 
 // One constant text with parameters, so that the primary parses it once.
-std::string logQuestion(const std::array<std::uint64_t, 4> &arguments)
+std::string logRequest(const std::array<std::uint64_t, 4> &arguments)
 {
     std::string bind(2, '\0'); // unnamed portal and statement
     pg::appendUint16(bind, 0); // text parameters
@@ -28,12 +28,12 @@
         bind += text;
     }
     pg::appendUint16(bind, 0); // text results
-    std::string question;
-    pg::appendParse(question, "", "SELECT * FROM group_log($1, $2, $3, $4)", std::string(2, '\0'));
-    pg::appendMessage(question, 'B', bind);
-    pg::appendMessage(question, 'E', std::string(5, '\0')); // unnamed portal, all rows
-    pg::appendMessage(question, 'S', {});
-    return question;
+    std::string request;
+    pg::appendParse(request, "", "SELECT * FROM group_log($1, $2, $3, $4)", std::string(2, '\0'));
+    pg::appendMessage(request, 'B', bind);
+    pg::appendMessage(request, 'E', std::string(5, '\0')); // unnamed portal, all rows
+    pg::appendMessage(request, 'S', {});
+    return request;
 }
 
 std::uint64_t numberOf(const std::optional<std::string> &text)
@@ -93,7 +93,7 @@
     // Where to ask from after a mismatch; nullopt for the end of the own log.
     std::optional<Position> resumeAfter;
     std::vector<std::vector<std::optional<std::string>>> rows;
-    bool isAsking = false;
+    bool isRequestPending = false;
 };
 
 Replicator::Replicator(Server &server) : m_server(server)
@@ -122,7 +122,7 @@
     connect(m_link);
 }
 
-void Replicator::retryLater(const std::shared_ptr<Link> &link)
+void Replicator::reconnectLater(const std::shared_ptr<Link> &link)
 {
     if (!isCurrent(link)) {
         return;
@@ -143,7 +143,7 @@
     const auto ip = boost::asio::ip::make_address(address.substr(0, colon), error);
     const int port = colon == std::string::npos ? 0 : std::atoi(address.c_str() + colon + 1);
     if (error || port <= 0) {
-        retryLater(link);
+        reconnectLater(link);
         return;
     }
     link->socket.async_connect({ip, static_cast<std::uint16_t>(port)}, [this, link](const boost::system::error_code &failure) {
@@ -151,14 +151,14 @@
             return;
         }
         if (failure) {
-            retryLater(link);
+            reconnectLater(link);
             return;
         }
-        greet(link);
+        sendStartup(link);
     });
 }
 
-void Replicator::greet(const std::shared_ptr<Link> &link)
+void Replicator::sendStartup(const std::shared_ptr<Link> &link)
 {
     boost::system::error_code ignored;
     link->socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
@@ -174,7 +174,7 @@
     boost::asio::async_write(link->socket, boost::asio::buffer(link->writing),
                              [this, link](const boost::system::error_code &error, std::size_t) {
                                  if (error) {
-                                     retryLater(link);
+                                     reconnectLater(link);
                                  }
                              });
 }
@@ -187,7 +187,7 @@
                                          return;
                                      }
                                      if (error) {
-                                         retryLater(link);
+                                         reconnectLater(link);
                                          return;
                                      }
                                      link->reader.feed(std::string_view(link->buffer.data(), bytes));
@@ -200,7 +200,7 @@
     while (isCurrent(link)) {
         const auto message = link->reader.next();
         if (!message) {
-            retryLater(link);
+            reconnectLater(link);
             return;
         }
         if (!*message) {
@@ -217,51 +217,51 @@
 
 void Replicator::onAnswer(const std::shared_ptr<Link> &link)
 {
-    if (!link->isAsking) {
-        ask(link);
+    if (!link->isRequestPending) {
+        requestEntries(link);
         return;
     }
     const LogAnswer answer = logAnswerOf(link->rows);
-    link->isAsking = false;
+    link->isRequestPending = false;
     link->rows.clear();
     if (!m_server.member().receive(link->after, answer, Clock::now())) {
         link->resumeAfter.reset();
-        askLater(link, retryDelay);
+        requestEntriesLater(link, retryDelay);
         return;
     }
     if (!answer.matched) {
         link->resumeAfter = answer.resumeAfter;
-        ask(link);
+        requestEntries(link);
         return;
     }
     link->resumeAfter.reset();
-    m_server.replayLater();
-    askLater(link, m_server.options().receiveDelay);
+    m_server.scheduleReplay();
+    requestEntriesLater(link, m_server.options().receiveDelay);
 }
 
-void Replicator::askLater(const std::shared_ptr<Link> &link, milliseconds delay)
+void Replicator::requestEntriesLater(const std::shared_ptr<Link> &link, milliseconds delay)
 {
     if (delay == milliseconds{0}) {
-        ask(link);
+        requestEntries(link);
         return;
     }
     link->timer.expires_after(delay);
     link->timer.async_wait([this, link](const boost::system::error_code &error) {
         if (!error && isCurrent(link)) {
-            ask(link);
+            requestEntries(link);
         }
     });
 }
 
-void Replicator::ask(const std::shared_ptr<Link> &link)
+void Replicator::requestEntries(const std::shared_ptr<Link> &link)
 {
     const GroupMember &member = m_server.member();
     link->after = member.received();
     if (link->resumeAfter && *link->resumeAfter < link->after.position) {
         link->after = member.markAt(*link->resumeAfter);
     }
-    link->isAsking = true;
-    send(link, logQuestion({member.followingTerm(), link->after.term, link->after.position, maxEntries}));
+    link->isRequestPending = true;
+    send(link, logRequest({member.followingTerm(), link->after.term, link->after.position, maxEntries}));
 }
 
 } // namespace egrettide::testing
--- a/testing/upstream/replicator.h
+++ b/testing/upstream/replicator.h
@@ -40,11 +40,11 @@
 private:
     struct Link;
 
-    void retryLater(const std::shared_ptr<Link> &link);
+    void reconnectLater(const std::shared_ptr<Link> &link);
     void connect(const std::shared_ptr<Link> &link);
-    void greet(const std::shared_ptr<Link> &link);
-    void ask(const std::shared_ptr<Link> &link);
-    void askLater(const std::shared_ptr<Link> &link, milliseconds delay);
+    void sendStartup(const std::shared_ptr<Link> &link);
+    void requestEntries(const std::shared_ptr<Link> &link);
+    void requestEntriesLater(const std::shared_ptr<Link> &link, milliseconds delay);
     void send(const std::shared_ptr<Link> &link, std::string bytes);
     void read(const std::shared_ptr<Link> &link);
     void handle(const std::shared_ptr<Link> &link);
--- a/testing/upstream/server.cpp
+++ b/testing/upstream/server.cpp
@@ -83,7 +83,7 @@
 {
     const std::int64_t number = integerAt(arguments, index);
     if (number < 0) {
-        throw SqlError("22003", "terms and positions are not negative");
+        throw SqlError("22003", "terms and positions must not be negative");
     }
     return static_cast<Term>(number);
 }
@@ -200,7 +200,7 @@
     session->start();
 }
 
-void Server::admit()
+void Server::addConnection()
 {
     // The limit is checked before the delay, as PostgreSQL checks it before it forks.
     if (m_options.refusesConnections) {
@@ -215,12 +215,12 @@
     m_counters.maxConnections = std::max(m_counters.maxConnections, m_counters.connections);
 }
 
-void Server::leave()
+void Server::removeConnection()
 {
     --m_counters.connections;
 }
 
-void Server::forget(std::uint32_t processId)
+void Server::removeSession(std::uint32_t processId)
 {
     m_sessions.erase(processId);
 }
@@ -275,7 +275,7 @@
     return now < m_burstUntil ? std::max(m_options.burstLag, m_options.replicationLag) : m_options.replicationLag;
 }
 
-void Server::replayLater()
+void Server::scheduleReplay()
 {
     replay();
 }
@@ -424,7 +424,7 @@
 void Server::set(const std::string &key, std::int64_t value)
 {
     if (value < 0) {
-        throw SqlError("22023", "a setting is not negative");
+        throw SqlError("22023", "a setting must not be negative");
     }
     if (key == "frozen_ms") {
         m_deferred.emplace_back([this, value] { freezeFor(milliseconds(value)); });
--- a/testing/upstream/server.h
+++ b/testing/upstream/server.h
@@ -81,15 +81,15 @@
     }
 
     // Counts a new connection, or throws the SqlError that refuses it.
-    void admit();
-    void leave();
-    void forget(std::uint32_t processId);
+    void addConnection();
+    void removeConnection();
+    void removeSession(std::uint32_t processId);
     void cancel(std::uint32_t processId, std::uint32_t secretKey);
     // Calls `wake` when the log has grown or the role has changed; spurious calls are
     // possible.
     void waitForEntries(std::function<void()> wake);
     // Schedules the replay of received entries.
-    void replayLater();
+    void scheduleReplay();
 
     // Throws 42883 when there is no such function.
     std::vector<ResultColumn> functionColumns(const std::string &name) const;
--- a/testing/upstream/session.cpp
+++ b/testing/upstream/session.cpp
@@ -79,12 +79,12 @@
         return;
     }
     if (error) {
-        m_atEnd = true;
+        m_hasReachedEnd = true;
     } else {
         m_reader.feed(std::string_view(m_buffer.data(), bytes));
         read();
     }
-    pump();
+    processMessages();
 }
 
 void Session::resume()
@@ -141,9 +141,9 @@
     m_transaction.reset();
     m_openTimer.cancel();
     if (m_isCounted) {
-        m_server.leave();
+        m_server.removeConnection();
     }
-    m_server.forget(m_processId);
+    m_server.removeSession(m_processId);
     boost::system::error_code ignored;
     if (reset) {
         m_socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -186,20 +186,20 @@
     }
     try {
         if (m_settings["application_name"] != replicationName) {
-            m_server.admit();
+            m_server.addConnection();
             m_isCounted = true;
         }
-        openLater();
+        openAfterDelay();
     } catch (const SqlError &error) {
         refuse(error);
     }
 }
 
-void Session::openLater()
+void Session::openAfterDelay()
 {
     const milliseconds delay = m_server.options().connectionDelay;
     if (delay == milliseconds{0}) {
-        welcome();
+        completeStartup();
         return;
     }
     m_isBusy = true;
@@ -209,12 +209,12 @@
             return;
         }
         self->m_isBusy = false;
-        self->welcome();
-        self->pump();
+        self->completeStartup();
+        self->processMessages();
     });
 }
 
-void Session::welcome()
+void Session::completeStartup()
 {
     m_isOpen = true;
     pg::appendAuthenticationOk(m_output);
@@ -234,12 +234,12 @@
     m_isClosing = true;
 }
 
-void Session::pump()
+void Session::processMessages()
 {
     readStartup();
     while (m_isOpen && !m_isBusy && !m_isClosing && !m_isClosed) {
         if (m_query) {
-            stepQuery();
+            runNextStatement();
             continue;
         }
         const auto message = m_reader.next();
@@ -248,12 +248,12 @@
             break;
         }
         if (!*message) {
-            m_isClosing = m_atEnd;
+            m_isClosing = m_hasReachedEnd;
             break;
         }
         handle(**message);
     }
-    m_isClosing = m_isClosing || (m_atEnd && !m_isOpen && !m_isBusy);
+    m_isClosing = m_isClosing || (m_hasReachedEnd && !m_isOpen && !m_isBusy);
     flush();
 }
 
@@ -285,7 +285,7 @@
             m_isClosing = true;
             return;
         default:
-            throw SqlError("08P01", "the stand-in does not know this message type");
+            throw SqlError("08P01", "the stand-in does not support this message type");
         }
     } catch (const SqlError &error) {
         fail(error);
@@ -302,7 +302,7 @@
     }
 }
 
-void Session::stepQuery()
+void Session::runNextStatement()
 {
     const auto text = m_query->text;
     if (m_query->next == text->statements.size()) {
@@ -313,7 +313,7 @@
     run({text, &statement, {}, [this](const StatementResult &result) {
              ++m_query->next;
              if (m_query->next == m_query->text->statements.size()) {
-                 // Before the answer: a caller that reads CommandComplete may count on it.
+                 // Commits before the answer: CommandComplete promises it to the caller.
                  commitImplicit();
              }
              if (!result.columns.empty()) {
@@ -484,7 +484,7 @@
     m_ticket = m_server.slots().submit(durationOf(m_running), [self = shared_from_this()] {
         self->m_isBusy = false;
         self->finishRunning();
-        self->pump();
+        self->processMessages();
     });
 }
 
@@ -534,8 +534,8 @@
     }
     try {
         const StatementResult now = executeFunction(*function, running.parameters);
-        const bool isNews = now.rows.size() > 1 || now.rows.front()[1] != Value(std::string("t"));
-        if (isNews) {
+        const bool isAnswerDue = now.rows.size() > 1 || now.rows.front()[1] != Value(std::string("t"));
+        if (isAnswerDue) {
             return false;
         }
     } catch (const SqlError &) {
@@ -548,7 +548,7 @@
         }
         self->m_isBusy = false;
         self->finishRunning();
-        self->pump();
+        self->processMessages();
     });
     return true;
 }
@@ -714,7 +714,7 @@
     m_isBusy = false;
     m_running = Running();
     fail(SqlError("57014", "canceling statement due to user request"));
-    pump();
+    processMessages();
 }
 
 void Session::writeRows(const StatementResult &result, const std::vector<std::uint16_t> &formats)
--- a/testing/upstream/session.h
+++ b/testing/upstream/session.h
@@ -66,15 +66,15 @@
 
     void readStartup();
     void onStartup(const pg::StartupMessage &startup);
-    void openLater();
-    void welcome();
+    void openAfterDelay();
+    void completeStartup();
     void refuse(const SqlError &error);
 
     // Handles messages until one has to wait.
-    void pump();
+    void processMessages();
     void handle(const pg::Message &message);
     void onQuery(const std::string &payload);
-    void stepQuery();
+    void runNextStatement();
     void endQuery();
     void onParse(pg::PayloadReader payload);
     void onBind(pg::PayloadReader payload);
@@ -120,7 +120,7 @@
     bool m_isOpen = false;
     bool m_isCounted = false;
     // The caller sends no more bytes; received messages are still processed.
-    bool m_atEnd = false;
+    bool m_hasReachedEnd = false;
     bool m_isClosing = false;
     bool m_isClosed = false;
     // A read that ended while the upstream was cut off.
--- a/testing/upstream/sqlstatement.cpp
+++ b/testing/upstream/sqlstatement.cpp
@@ -22,7 +22,7 @@
 
 [[noreturn]] void unsupported(const std::string &what)
 {
-    throw SqlError("0A000", "The stand-in does not know " + what + "; use the small SQL that it documents.");
+    throw SqlError("0A000", "The stand-in does not support " + what + "; use the SQL subset that it documents.");
 }
 
 const Json &child(const Json &node, const char *key)
--- a/testing/upstream/tableview.cpp
+++ b/testing/upstream/tableview.cpp
@@ -11,7 +11,7 @@
 {
 
 // The value that the condition sets equal to the column, null for none.
-const Expression *pinnedValue(const std::string &column, const Condition &where)
+const Expression *equalityValue(const std::string &column, const Condition &where)
 {
     if (where.kind == Condition::Kind::Equal) {
         const bool isColumn =
@@ -24,7 +24,7 @@
         return nullptr;
     }
     for (const Condition &part : where.children) {
-        if (const Expression *value = pinnedValue(column, part)) {
+        if (const Expression *value = equalityValue(column, part)) {
             return value;
         }
     }
@@ -66,23 +66,23 @@
 {
     std::map<RowId, const Row *> rows;
     Scope scope{parameters, &schema(), nullptr};
-    const auto take = [&](RowId id, const Row &row) {
+    const auto addIfMatching = [&](RowId id, const Row &row) {
         scope.row = &row;
         if (!where || holds(*where, scope) == Truth(true)) {
             rows.emplace(id, &row);
         }
     };
-    forEachCommitted(where, parameters, take);
-    forEachOwn(take);
+    forEachCommitted(where, parameters, addIfMatching);
+    forEachOwn(addIfMatching);
     return rows;
 }
 
-bool TableView::clashes(RowId id, const Row &row) const
+bool TableView::hasKeyConflict(RowId id, const Row &row) const
 {
     const auto &keys = schema().uniqueKeys;
     for (std::size_t i = 0; i < keys.size(); ++i) {
         const auto key = uniqueKeyOf(row, keys[i]);
-        if (key && (clashesWithCommitted(i, *key, id) || clashesWithOwn(keys[i], row, id))) {
+        if (key && (conflictsWithCommitted(i, *key, id) || conflictsWithOwn(keys[i], row, id))) {
             return true;
         }
     }
@@ -94,13 +94,13 @@
     return m_writes != nullptr && m_writes->rows.contains(id);
 }
 
-bool TableView::clashesWithCommitted(std::size_t uniqueKey, const std::string &key, RowId id) const
+bool TableView::conflictsWithCommitted(std::size_t uniqueKey, const std::string &key, RowId id) const
 {
     const auto holder = m_committed == nullptr ? std::nullopt : m_committed->rowWithKey(uniqueKey, key);
     return holder && *holder != id && !isOverwritten(*holder);
 }
 
-bool TableView::clashesWithOwn(const std::vector<std::size_t> &columns, const Row &row, RowId id) const
+bool TableView::conflictsWithOwn(const std::vector<std::size_t> &columns, const Row &row, RowId id) const
 {
     const auto isSame = [&](const Row &other) {
         return std::all_of(columns.begin(), columns.end(), [&](std::size_t column) { return other[column] == row[column]; });
@@ -151,7 +151,7 @@
     }
     const auto &keys = schema().uniqueKeys;
     for (std::size_t i = 0; i < keys.size(); ++i) {
-        const auto key = pinnedKey(keys[i], *where, parameters);
+        const auto key = equalityKey(keys[i], *where, parameters);
         if (key) {
             return std::pair(i, *key);
         }
@@ -159,12 +159,12 @@
     return std::nullopt;
 }
 
-std::optional<std::string> TableView::pinnedKey(const std::vector<std::size_t> &columns, const Condition &where,
-                                                const std::vector<Value> &parameters) const
+std::optional<std::string> TableView::equalityKey(const std::vector<std::size_t> &columns, const Condition &where,
+                                                  const std::vector<Value> &parameters) const
 {
     Row row(schema().columns.size());
     for (const std::size_t column : columns) {
-        const Expression *value = pinnedValue(schema().columns[column].name, where);
+        const Expression *value = equalityValue(schema().columns[column].name, where);
         if (value == nullptr) {
             return std::nullopt;
         }
--- a/testing/upstream/tableview.h
+++ b/testing/upstream/tableview.h
@@ -30,22 +30,22 @@
     // Every row that satisfies the condition, in the order of insertion.
     std::map<RowId, const Row *> matching(const std::optional<Condition> &where, const std::vector<Value> &parameters) const;
     // Whether another row of this view holds one of the row's unique keys.
-    bool clashes(RowId id, const Row &row) const;
+    bool hasKeyConflict(RowId id, const Row &row) const;
 
 private:
     using Visit = std::function<void(RowId, const Row &)>;
 
     bool isOverwritten(RowId id) const;
-    bool clashesWithCommitted(std::size_t uniqueKey, const std::string &key, RowId id) const;
-    bool clashesWithOwn(const std::vector<std::size_t> &columns, const Row &row, RowId id) const;
+    bool conflictsWithCommitted(std::size_t uniqueKey, const std::string &key, RowId id) const;
+    bool conflictsWithOwn(const std::vector<std::size_t> &columns, const Row &row, RowId id) const;
     void forEachOwn(const Visit &visit) const;
     void forEachCommitted(const std::optional<Condition> &where, const std::vector<Value> &parameters, const Visit &visit) const;
     // The unique key that the condition restricts to one value, if any; this avoids a
     // table scan.
     std::optional<std::pair<std::size_t, std::string>> uniqueLookup(const std::optional<Condition> &where,
                                                                     const std::vector<Value> &parameters) const;
-    std::optional<std::string> pinnedKey(const std::vector<std::size_t> &columns, const Condition &where,
-                                         const std::vector<Value> &parameters) const;
+    std::optional<std::string> equalityKey(const std::vector<std::size_t> &columns, const Condition &where,
+                                           const std::vector<Value> &parameters) const;
 
     std::string m_name;
     // Null when there is no such committed table, or the transaction dropped it.
--- a/testing/upstream/valuecodec.h
+++ b/testing/upstream/valuecodec.h
@@ -19,7 +19,7 @@
 std::uint16_t formatAt(const std::vector<std::uint16_t> &formats, std::size_t index);
 
 // The value of a parameter; `type` is a type OID. Throws 22P03 when a binary integer
-// has an unexpected size.
+// is neither 4 nor 8 bytes long.
 Value parameterOf(std::string_view bytes, std::uint16_t format, std::uint32_t type);
 
 // Appends a column of a DataRow, with its length.
--- a/tests/runtime/upstreamstandin_test.cpp
+++ b/tests/runtime/upstreamstandin_test.cpp
@@ -26,7 +26,7 @@
 using egrettide::testing::UpstreamOptions;
 using egrettide::testing::UpstreamStandIn;
 
-constexpr milliseconds generousBound{20000};
+constexpr milliseconds waitTimeout{20000};
 constexpr milliseconds pollInterval{2};
 constexpr const char *createBookings = "CREATE TABLE booking (slot int8 PRIMARY KEY, family text NOT NULL, paid int4)";
 
@@ -93,7 +93,7 @@
 
 bool eventually(const std::function<bool()> &condition)
 {
-    const auto deadline = Clock::now() + generousBound;
+    const auto deadline = Clock::now() + waitTimeout;
     while (Clock::now() < deadline) {
         if (condition()) {
             return true;
@@ -204,7 +204,7 @@
     BOOST_TEST(primary.status().received.position == before.position + 1);
 }
 
-BOOST_AUTO_TEST_CASE(RollbackLeavesNothing)
+BOOST_AUTO_TEST_CASE(RollbackDiscardsAllWrites)
 {
     const Connection family = connected(primary);
     mustRun(family, "BEGIN");
@@ -240,7 +240,7 @@
     BOOST_TEST(rowsOf(first, "SELECT paid FROM booking") == "1");
 }
 
-BOOST_AUTO_TEST_CASE(AFailedTransactionTakesNothingMore)
+BOOST_AUTO_TEST_CASE(AFailedTransactionRefusesFurtherStatements)
 {
     const Connection family = connected(primary);
     mustRun(family, "BEGIN");
@@ -260,7 +260,7 @@
     BOOST_TEST(stateOf(committee, "INSERT INTO booking VALUES (1, 'Roy', 0)") == "25006");
 }
 
-BOOST_AUTO_TEST_CASE(StatementsOfOneQueryStandOrFallTogether)
+BOOST_AUTO_TEST_CASE(StatementsOfOneQueryAreAtomic)
 {
     const Connection family = connected(primary);
     BOOST_TEST(stateOf(family, "INSERT INTO booking VALUES (1, 'Roy', 0); INSERT INTO booking VALUES (1, 'Roy', 0)") == "23505");
@@ -410,7 +410,7 @@
     BOOST_TEST(b.status().replayed == written);
 }
 
-BOOST_AUTO_TEST_CASE(ABurstHoldsReplayUp)
+BOOST_AUTO_TEST_CASE(ABurstDelaysReplay)
 {
     UpstreamOptions options = replicaOptions("d");
     options.burstEvery = milliseconds{1};
@@ -428,7 +428,7 @@
     BOOST_REQUIRE(caughtUp(b, primary));
 }
 
-BOOST_AUTO_TEST_CASE(StatusHasTheColumnsOfTheArchitecture)
+BOOST_AUTO_TEST_CASE(StatusHasTheDocumentedColumns)
 {
     const LogMark mark = primary.status().received;
     const std::string position = std::to_string(mark.position);
@@ -492,7 +492,7 @@
     BOOST_TEST(rowsOf(family, "SELECT count(*) FROM booking") == "0");
 }
 
-BOOST_AUTO_TEST_CASE(AFencedReplicaTakesNothingFromTheOldPrimary)
+BOOST_AUTO_TEST_CASE(AFencedReplicaReceivesNothingFromTheOldPrimary)
 {
     BOOST_TEST(granted(b, "group_fence(2, 'x')") == "t");
     const LogMark promised = b.status().received;
@@ -552,7 +552,7 @@
     BOOST_TEST(c.status().received < primary.status().received);
 }
 
-BOOST_AUTO_TEST_CASE(ACutHoldsAnswersBackAndReplicationUp)
+BOOST_AUTO_TEST_CASE(ACutDelaysAnswersAndReplication)
 {
     const Connection caller = connected(primary);
     primary.setServiceTime(std::chrono::milliseconds{50});
@@ -637,7 +637,7 @@
     BOOST_TEST(std::string(PQcmdStatus(result.get())) == "SELECT 1");
 }
 
-BOOST_AUTO_TEST_CASE(AKilledUpstreamIsGoneAndStartsEmpty)
+BOOST_AUTO_TEST_CASE(AKilledUpstreamDropsConnectionsAndRestartsEmpty)
 {
     UpstreamStandIn upstream(primaryOptions());
     upstream.start();
