--- a/testing/upstream/replicator.h
+++ b/testing/upstream/replicator.h
@@ -1,5 +1,5 @@
-// The receiving side of replication: asks the primary for its log over PostgreSQL
-// v3, again and again, and hands the answers to the group member.
+// The receiving side of replication: polls the primary for its log over PostgreSQL
+// v3 and passes the answers to the group member.
 
 #pragma once
 
@@ -34,18 +34,17 @@
     Replicator(const Replicator &) = delete;
     Replicator &operator=(const Replicator &) = delete;
 
-    // Drops the link and begins anew with the primary that the member follows now,
-    // if any.
+    // Drops the link and connects to the primary that the member follows now, if any.
     void restart();
 
 private:
     struct Link;
 
-    void retryLater(const std::shared_ptr<Link> &link);
+    void reconnectLater(const std::shared_ptr<Link> &link);
     void connect(const std::shared_ptr<Link> &link);
-    void greet(const std::shared_ptr<Link> &link);
-    void ask(const std::shared_ptr<Link> &link);
-    void askLater(const std::shared_ptr<Link> &link, milliseconds delay);
+    void sendStartup(const std::shared_ptr<Link> &link);
+    void requestEntries(const std::shared_ptr<Link> &link);
+    void requestEntriesLater(const std::shared_ptr<Link> &link, milliseconds delay);
     void send(const std::shared_ptr<Link> &link, std::string bytes);
     void read(const std::shared_ptr<Link> &link);
     void handle(const std::shared_ptr<Link> &link);
@@ -53,7 +52,7 @@
     bool isCurrent(const std::shared_ptr<Link> &link) const;
 
     Server &m_server;
-    // Null while the member follows nobody.
+    // Null while the member follows no primary.
     std::shared_ptr<Link> m_link;
 };
 
