--- a/src/runtime/configuration/configurationkeeper.cpp
+++ b/src/runtime/configuration/configurationkeeper.cpp
@@ -19,8 +19,8 @@
 // A waiting watch counts as one call, so long ones are cheap.
 constexpr milliseconds watchTimeout{30000};
 constexpr milliseconds pauseAfterFailure{500};
-// How often hosts that don't watch check whether they have become the watcher.
-constexpr milliseconds watcherCheck{500};
+// How often a host that is not the store reader of its zone checks whether it has become so.
+constexpr milliseconds readerCheckInterval{500};
 constexpr milliseconds pullPatience{1000};
 constexpr milliseconds loneHostPatience{2000};
 // Each host sends a new version to this many others: 510 hosts are reached in three rounds, and
@@ -64,7 +64,7 @@
         } else if (m_state.version() == 0 || m_state.isBehind()) {
             fetch();
         } else {
-            schedule(watcherCheck);
+            schedule(readerCheckInterval);
         }
     });
 }
--- a/src/runtime/configuration/configurationkeeper.h
+++ b/src/runtime/configuration/configurationkeeper.h
@@ -1,6 +1,6 @@
-// Keeps this host's configuration current: from the platform's store when this host is its zone's
-// watcher, and from other hosts otherwise or when the store is unavailable. The number of store
-// calls therefore grows with zones and not with hosts.
+// Keeps this host's configuration current: from the platform's store when this host is the store
+// reader of its zone, and from other hosts otherwise or when the store is unavailable. The number
+// of store calls therefore grows with zones and not with hosts.
 
 #pragma once
 
