--- a/src/runtime/configuration/discoveredconfiguration.h
+++ b/src/runtime/configuration/discoveredconfiguration.h
@@ -117,7 +117,7 @@
     Timer m_lapseTimer;
     Timer m_roleTimer;
     Timer m_pushTimer;
-    ReaderSelection m_duty;
+    ReaderSelection m_selection;
     // Whether this host followed the store at the last check.
     bool m_isReader = false;
     CatalogTexts m_texts;
--- a/src/runtime/configuration/discoveredsharing.cpp
+++ b/src/runtime/configuration/discoveredsharing.cpp
@@ -58,15 +58,15 @@
         m_zoneReader = zone.candidates.empty() ? std::string() : zone.candidates.front();
         m_selection.onCandidates(std::move(zone.candidates));
     }
-    m_duty.onStoreReachable(m_intentFollower.isReached() && m_registrationFollower.isReached());
-    if (m_duty.isReader(now) != m_isReader) {
+    m_selection.onStoreReachable(m_intentFollower.isReached() && m_registrationFollower.isReached());
+    if (m_selection.isReader(now) != m_isReader) {
         m_isReader = !m_isReader;
         log::info("store_reader", {{"reads", m_isReader}});
         m_behindSince.reset();
         m_intentFollower.setWaiting(m_isReader);
         m_registrationFollower.setWaiting(m_isReader);
     }
-    if (const auto next = m_duty.handOverTarget(now)) {
+    if (const auto next = m_selection.handOverTarget(now)) {
         m_hooks.send(*next, hop::CatalogOffer{version(), false});
     }
     // Announcements and answers can be lost, so a host that is behind does not wait for another
@@ -158,7 +158,7 @@
 void DiscoveredConfiguration::onCatalogOffer(const std::string &from, const hop::CatalogOffer &offer)
 {
     if (!offer.readsStore) {
-        m_duty.onHandOver(Clock::now());
+        m_selection.onHandOver(Clock::now());
         checkReaderRole();
     }
     onVersionReported(from, offer.version);
