--- a/src/runtime/host/hostrouting.cpp
+++ b/src/runtime/host/hostrouting.cpp
@@ -223,7 +223,8 @@
 
 void HostDaemon::Impl::send(const std::string &host, hop::HopMessage message)
 {
-    const HostRecord *record = routes()->view->host(host);
+    const auto current = routes();
+    const HostRecord *record = current->view->host(host);
     if (record != nullptr) {
         sendTo(host, record->peerAddress, std::move(message));
     }
--- a/tests/platform/workspaces_test.cpp
+++ b/tests/platform/workspaces_test.cpp
@@ -197,4 +197,40 @@
     BOOST_TEST(calmRefused == 0, "a workspace below its quota was refused " << calmRefused << " times");
 }
 
+BOOST_AUTO_TEST_CASE(AreKeptWhileConfigurationsChange)
+{
+    // Guards against a host that answers a peer at an address in a membership view that another
+    // thread has just replaced and freed (a use after free, reported by the sanitizers). Callers
+    // keep the hosts exchanging quota messages while each new configuration replaces the view.
+    PlatformSite site(3);
+    const nlohmann::json workspaces{PlatformSite::workspace("busy", {"busy-1"}, 200)};
+    site.configure(2, {}, workspaces);
+    BOOST_TEST_REQUIRE(allHosts(site, "busy-1", true));
+    const TimePoint until = Clock::now() + std::chrono::seconds(3);
+    std::atomic<int> answered{0};
+    std::atomic<int> otherwise{0};
+    std::vector<std::thread> threads;
+    constexpr std::size_t callers = 6;
+    for (std::size_t i = 0; i < callers; ++i) {
+        threads.emplace_back([&, address = site.addresses[i % site.addresses.size()]] {
+            LineClient client(address);
+            client.start("log", "busy-1");
+            while (Clock::now() < until) {
+                const LineAnswer answer = client.run("READ item");
+                answered += answer.succeeded() ? 1 : 0;
+                otherwise += answer.succeeded() || answer.failedWith("BUSY") ? 0 : 1;
+            }
+        });
+    }
+    for (int version = 3; Clock::now() < until; ++version) {
+        site.configure(version, {}, workspaces);
+        std::this_thread::sleep_for(milliseconds(5));
+    }
+    for (std::thread &thread : threads) {
+        thread.join();
+    }
+    BOOST_TEST(answered > 0);
+    BOOST_TEST(otherwise == 0, otherwise << " requests failed otherwise than with BUSY");
+}
+
 BOOST_AUTO_TEST_SUITE_END()
