--- a/samples/booking.cpp
+++ b/samples/booking.cpp
@@ -1,14 +1,14 @@
-// Books a session and charges for it, once, whatever happens on the way:
+// Makes a booking and its charge exactly once, despite retries and lost answers:
 //
 //   sample_booking "host=10.0.1.5 port=6432 dbname=bookings user=branch-desks" 4711
 //
-// The booking number is the idempotency key, chosen before the first attempt and
-// kept for all of them. Three cases that programs often treat alike are kept apart:
-//  - not run: wait as told and send it again;
-//  - unknown outcome: send the same transaction again. The key decides: a duplicate
-//    means that the lost attempt did take effect. Looking the booking up first is
-//    not enough, since a transaction that is still under way shows nothing yet;
-//  - refused by the database: that is the answer, do not repeat it.
+// The booking number is the idempotency key: it is chosen before the first attempt and
+// is the same for all attempts. Each failure is handled according to its outcome:
+//  - not run: wait for the delay in the error's hint and send the transaction again;
+//  - unknown outcome: send the same transaction again. A duplicate key error then means
+//    that an earlier attempt has committed. A SELECT of the booking can't replace this,
+//    since it does not see a transaction that is still running;
+//  - refused by the database: the error is final, do not retry.
 
 #include "caller.h"
 
@@ -23,29 +23,29 @@
 
 using samples::Answer;
 using samples::Caller;
-using samples::Verdict;
+using samples::Outcome;
 
-constexpr int attempts = 200;
-constexpr int shortestPauseMs = 50;
+constexpr int maxAttempts = 200;
+constexpr int minRetryDelayMs = 50;
 
-void waitBeforeNext(int retryAfterMs)
+void waitBeforeRetry(int retryAfterMs)
 {
-    std::this_thread::sleep_for(std::chrono::milliseconds(std::max(retryAfterMs, shortestPauseMs)));
+    std::this_thread::sleep_for(std::chrono::milliseconds(std::max(retryAfterMs, minRetryDelayMs)));
 }
 
-// One attempt; the charge is in the same transaction as its booking, so either
-// both are there or neither is.
-Answer tryToBook(Caller &caller, const std::string &number)
+// Inserts the booking and its charge in one transaction, so that either both are stored
+// or neither is.
+Answer bookInTransaction(Caller &caller, const std::string &number)
 {
     const std::string charge = "INSERT INTO sample_charges (booking, cents) VALUES (" + number + ", 2500)";
     const std::string booking = "INSERT INTO sample_bookings (id) VALUES (" + number + ")";
     for (const std::string &statement : {std::string("BEGIN"), booking, charge}) {
         Answer answer = caller.run(statement);
-        if (answer.verdict == Verdict::Unknown) {
-            // COMMIT was not sent: a lost transaction is rolled back.
-            answer.verdict = Verdict::NotRun;
+        if (answer.outcome == Outcome::Unknown) {
+            // COMMIT has not been sent, so the transaction is rolled back.
+            answer.outcome = Outcome::NotRun;
         }
-        if (answer.verdict != Verdict::Done) {
+        if (answer.outcome != Outcome::Done) {
             caller.run("ROLLBACK");
             return answer;
         }
@@ -53,51 +53,52 @@
     return caller.run("COMMIT");
 }
 
-// An attempt on a connection of its own: the host of the last one may be gone.
-Answer tryOnce(const std::string &conninfo, const std::string &number)
+// Opens a new connection for each attempt, since the host of the previous one may have stopped.
+Answer attemptBooking(const std::string &conninfo, const std::string &number)
 {
     try {
         Caller caller(conninfo);
-        return tryToBook(caller, number);
-    } catch (const std::runtime_error &failure) {
+        return bookInTransaction(caller, number);
+    } catch (const std::runtime_error &error) {
         Answer answer;
-        answer.verdict = Verdict::NotRun;
-        answer.message = failure.what();
+        answer.outcome = Outcome::NotRun;
+        answer.message = error.what();
         return answer;
     }
 }
 
-bool book(const std::string &conninfo, const std::string &number)
+bool bookWithRetries(const std::string &conninfo, const std::string &number)
 {
-    for (int attempt = 1; attempt <= attempts; ++attempt) {
-        const Answer answer = tryOnce(conninfo, number);
-        if (answer.verdict == Verdict::Done || samples::isDuplicateKey(answer)) {
+    for (int attempt = 1; attempt <= maxAttempts; ++attempt) {
+        const Answer answer = attemptBooking(conninfo, number);
+        if (answer.outcome == Outcome::Done || samples::isDuplicateKey(answer)) {
             std::cout << "booked " << number << " after " << attempt << " attempt(s)"
-                      << (answer.verdict == Verdict::Done ? "" : ", by an earlier one") << '\n';
+                      << (answer.outcome == Outcome::Done ? "" : "; an earlier attempt had committed") << '\n';
             return true;
         }
         std::cout << "attempt " << attempt << ": " << answer.message << '\n';
-        if (answer.verdict == Verdict::Failed) {
+        if (answer.outcome == Outcome::Failed) {
             return false;
         }
-        waitBeforeNext(answer.retryAfterMs);
+        waitBeforeRetry(answer.retryAfterMs);
     }
     return false;
 }
 
-// Repeats a statement that is harmless to repeat.
-Answer runPatiently(const std::string &conninfo, const std::string &statement)
+// Retries after any error, so the statement must be idempotent. Throws std::runtime_error
+// after the last attempt.
+Answer runWithRetries(const std::string &conninfo, const std::string &statement)
 {
     Answer answer;
-    for (int attempt = 0; attempt < attempts; ++attempt) {
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         try {
             Caller caller(conninfo);
-            caller.need("SET egrettide.freshness = 'latest'");
-            answer = caller.need(statement);
+            caller.runOrThrow("SET egrettide.freshness = 'latest'");
+            answer = caller.runOrThrow(statement);
             return answer;
-        } catch (const std::runtime_error &failure) {
-            answer.message = failure.what();
-            waitBeforeNext(0);
+        } catch (const std::runtime_error &error) {
+            answer.message = error.what();
+            waitBeforeRetry(0);
         }
     }
     throw std::runtime_error(answer.message);
@@ -114,14 +115,14 @@
     const std::string conninfo = argv[1];
     const std::string number = argv[2];
     try {
-        runPatiently(conninfo, "CREATE TABLE IF NOT EXISTS sample_bookings (id int8 PRIMARY KEY)");
-        runPatiently(conninfo, "CREATE TABLE IF NOT EXISTS sample_charges (booking int8, cents int8)");
-        const bool booked = book(conninfo, number);
-        const Answer charges = runPatiently(conninfo, "SELECT count(*) FROM sample_charges WHERE booking = " + number);
+        runWithRetries(conninfo, "CREATE TABLE IF NOT EXISTS sample_bookings (id int8 PRIMARY KEY)");
+        runWithRetries(conninfo, "CREATE TABLE IF NOT EXISTS sample_charges (booking int8, cents int8)");
+        const bool booked = bookWithRetries(conninfo, number);
+        const Answer charges = runWithRetries(conninfo, "SELECT count(*) FROM sample_charges WHERE booking = " + number);
         std::cout << "charges for " << number << ": " << charges.rows.at(0).at(0) << '\n';
         return booked ? 0 : 1;
-    } catch (const std::exception &failure) {
-        std::cerr << failure.what() << '\n';
+    } catch (const std::exception &error) {
+        std::cerr << error.what() << '\n';
         return 1;
     }
 }
--- a/samples/caller.h
+++ b/samples/caller.h
@@ -1,5 +1,5 @@
-// What the samples share: a connection that closes itself, and what a caller may
-// conclude from each answer. Needs nothing but libpq; copy what you like.
+// Shared by the samples: a connection that is closed when it goes out of scope, and what
+// a caller may assume after each answer. Depends on libpq only, so that programs can copy it.
 
 #pragma once
 
@@ -15,22 +15,23 @@
 namespace samples
 {
 
-enum class Verdict {
-    // The answer holds the rows.
+// What a caller may assume about a request.
+enum class Outcome {
+    // It succeeded; the answer holds its rows.
     Done,
-    // Nothing of the request took effect: sending it again cannot run it twice.
+    // No part of the request ran; it is safe to send it again.
     NotRun,
-    // It may have taken effect, or may still do so.
+    // It may have taken effect, or may still take effect.
     Unknown,
-    // The upstream said no; the SQLSTATE says why.
+    // The upstream answered with an error; the SQLSTATE gives the reason.
     Failed,
 };
 
 struct Answer {
-    Verdict verdict = Verdict::Failed;
+    Outcome outcome = Outcome::Failed;
     std::string sqlState;
     std::string message;
-    // How long to wait before asking again; from the hint of a refusal.
+    // The delay before a retry, from the error's hint; 0 if the hint has none.
     int retryAfterMs = 0;
     std::vector<std::vector<std::string>> rows;
 };
@@ -38,10 +39,10 @@
 namespace detail
 {
 
-inline constexpr std::string_view notRun = "Not run.";
-inline constexpr std::string_view comeBack = "Come back in ";
-inline constexpr std::string_view unknownOutcomeState = "08007";
-inline constexpr std::string_view duplicateKeyState = "23505";
+inline constexpr std::string_view notRunHint = "Not run.";
+inline constexpr std::string_view retryAfterPrefix = "Come back in ";
+inline constexpr std::string_view unknownOutcomeSqlState = "08007";
+inline constexpr std::string_view duplicateKeySqlState = "23505";
 
 struct ConnectionDeleter {
     void operator()(PGconn *connection) const
@@ -57,37 +58,37 @@
     }
 };
 
-inline std::string textOf(const char *text)
+inline std::string stringOrEmpty(const char *text)
 {
     return text != nullptr ? text : "";
 }
 
-// The number in "Come back in 50 ms.", zero without one.
-inline int retryAfterIn(const std::string &text)
+// Returns the milliseconds of a hint such as "Come back in 50 ms.", or 0 if it has none.
+inline int parseRetryAfterMs(const std::string &text)
 {
-    const std::size_t at = text.find(comeBack);
-    return at == std::string::npos ? 0 : std::atoi(text.c_str() + at + comeBack.size());
+    const std::size_t position = text.find(retryAfterPrefix);
+    return position == std::string::npos ? 0 : std::atoi(text.c_str() + position + retryAfterPrefix.size());
 }
 
-inline Answer failureOf(const PGconn *connection, const PGresult *result)
+inline Answer errorAnswer(const PGconn *connection, const PGresult *result)
 {
     Answer answer;
-    answer.sqlState = textOf(PQresultErrorField(result, PG_DIAG_SQLSTATE));
-    answer.message = textOf(PQresultErrorMessage(result));
-    std::string hint = textOf(PQresultErrorField(result, PG_DIAG_MESSAGE_HINT));
+    answer.sqlState = stringOrEmpty(PQresultErrorField(result, PG_DIAG_SQLSTATE));
+    answer.message = stringOrEmpty(PQresultErrorMessage(result));
+    std::string hint = stringOrEmpty(PQresultErrorField(result, PG_DIAG_MESSAGE_HINT));
     if (answer.sqlState.empty()) {
-        // The connection ended. A host that leaves says good-bye first; libpq hands
-        // the words on in the connection's message, without fields.
-        answer.message += textOf(PQerrorMessage(connection));
-        const std::size_t at = answer.message.find(notRun);
-        hint = at == std::string::npos ? std::string() : answer.message.substr(at);
-        answer.verdict = Verdict::Unknown;
+        // The connection was closed. A draining host sends an error before it closes;
+        // libpq may report it only in the connection's message, without separate fields.
+        answer.message += stringOrEmpty(PQerrorMessage(connection));
+        const std::size_t position = answer.message.find(notRunHint);
+        hint = position == std::string::npos ? std::string() : answer.message.substr(position);
+        answer.outcome = Outcome::Unknown;
     }
-    if (std::string_view(hint).starts_with(notRun)) {
-        answer.verdict = Verdict::NotRun;
-        answer.retryAfterMs = retryAfterIn(hint);
-    } else if (answer.sqlState == unknownOutcomeState) {
-        answer.verdict = Verdict::Unknown;
+    if (std::string_view(hint).starts_with(notRunHint)) {
+        answer.outcome = Outcome::NotRun;
+        answer.retryAfterMs = parseRetryAfterMs(hint);
+    } else if (answer.sqlState == unknownOutcomeSqlState) {
+        answer.outcome = Outcome::Unknown;
     }
     return answer;
 }
@@ -98,7 +99,8 @@
 class Caller
 {
 public:
-    // `conninfo` as for any libpq program. Throws when no host takes the caller.
+    // `conninfo`: a libpq connection string. Throws std::runtime_error if no host accepts
+    // the connection.
     explicit Caller(const std::string &conninfo) : m_connection(PQconnectdb(conninfo.c_str()))
     {
         if (PQstatus(m_connection.get()) != CONNECTION_OK) {
@@ -106,16 +108,16 @@
         }
     }
 
-    // Runs one statement and waits for its answer.
+    // Runs one statement and waits for its answer. Errors are returned, not thrown.
     Answer run(const std::string &statement)
     {
         const std::unique_ptr<PGresult, detail::ResultDeleter> result(PQexec(m_connection.get(), statement.c_str()));
         const ExecStatusType status = PQresultStatus(result.get());
         if (status != PGRES_COMMAND_OK && status != PGRES_TUPLES_OK) {
-            return detail::failureOf(m_connection.get(), result.get());
+            return detail::errorAnswer(m_connection.get(), result.get());
         }
         Answer answer;
-        answer.verdict = Verdict::Done;
+        answer.outcome = Outcome::Done;
         for (int row = 0; row < PQntuples(result.get()); ++row) {
             std::vector<std::string> values;
             for (int column = 0; column < PQnfields(result.get()); ++column) {
@@ -126,21 +128,21 @@
         return answer;
     }
 
-    // As run(), for statements that have to succeed: throws what went wrong.
-    Answer need(const std::string &statement)
+    // Like run(), but throws std::runtime_error unless the statement succeeds.
+    Answer runOrThrow(const std::string &statement)
     {
         Answer answer = run(statement);
-        if (answer.verdict != Verdict::Done) {
+        if (answer.outcome != Outcome::Done) {
             throw std::runtime_error(statement + ": " + answer.message);
         }
         return answer;
     }
 
-    // The session's token: hand it to the next connection, on whichever host.
+    // The session token. Pass it to the session's next connection, on any host.
     // Empty before the first write or confirmed read.
     std::string token() const
     {
-        return detail::textOf(PQparameterStatus(m_connection.get(), "egrettide.session"));
+        return detail::stringOrEmpty(PQparameterStatus(m_connection.get(), "egrettide.session"));
     }
 
 private:
@@ -149,7 +151,7 @@
 
 inline bool isDuplicateKey(const Answer &answer)
 {
-    return answer.sqlState == detail::duplicateKeyState;
+    return answer.sqlState == detail::duplicateKeySqlState;
 }
 
 } // namespace samples
--- a/samples/freshread.cpp
+++ b/samples/freshread.cpp
@@ -1,10 +1,10 @@
-// Asks for the same rows with three degrees of freshness:
+// Reads the same row with three freshness settings, each of which adds a guarantee:
 //
 //   sample_freshread "host=10.0.1.5 port=6432 dbname=bookings user=parent-portal" 1
 //
-//  - session: the session's own writes and reads are seen; cheapest;
-//  - 500ms: besides, the answer is at most that old;
-//  - latest: besides, everything acknowledged before the read is seen.
+//  - session: the read sees what the session has written and read before; the cheapest;
+//  - 500ms: in addition, the state that is read is at most 500 ms old;
+//  - latest: in addition, the read sees every write that was acknowledged before it.
 
 #include "caller.h"
 
@@ -15,22 +15,22 @@
 
 using samples::Caller;
 
-int run(const std::string &conninfo, const std::string &id)
+int run(const std::string &conninfo, const std::string &slotId)
 {
     {
         Caller writer(conninfo);
-        writer.need("CREATE TABLE IF NOT EXISTS sample_slots (id int8 PRIMARY KEY)");
-        writer.need("INSERT INTO sample_slots (id) VALUES (" + id + ") ON CONFLICT DO NOTHING");
+        writer.runOrThrow("CREATE TABLE IF NOT EXISTS sample_slots (id int8 PRIMARY KEY)");
+        writer.runOrThrow("INSERT INTO sample_slots (id) VALUES (" + slotId + ") ON CONFLICT DO NOTHING");
     }
     Caller reader(conninfo);
-    bool latestSaw = false;
+    bool seen = false;
     for (const std::string freshness : {"session", "500ms", "latest"}) {
-        reader.need("SET egrettide.freshness = '" + freshness + "'");
-        latestSaw = !reader.need("SELECT id FROM sample_slots WHERE id = " + id).rows.empty();
-        std::cout << freshness << ": " << (latestSaw ? "seen" : "not yet seen") << '\n';
+        reader.runOrThrow("SET egrettide.freshness = '" + freshness + "'");
+        seen = !reader.runOrThrow("SELECT id FROM sample_slots WHERE id = " + slotId).rows.empty();
+        std::cout << freshness << ": " << (seen ? "seen" : "not yet seen") << '\n';
     }
-    // Only the last one promises what another session's acknowledged write did.
-    return latestSaw ? 0 : 1;
+    // Only `latest`, the last setting, guarantees that another session's write is seen.
+    return seen ? 0 : 1;
 }
 
 } // namespace
@@ -43,8 +43,8 @@
     }
     try {
         return run(argv[1], argv[2]);
-    } catch (const std::exception &failure) {
-        std::cerr << failure.what() << '\n';
+    } catch (const std::exception &error) {
+        std::cerr << error.what() << '\n';
         return 1;
     }
 }
--- a/samples/movesession.cpp
+++ b/samples/movesession.cpp
@@ -3,9 +3,9 @@
 //   sample_movesession "host=10.0.1.5 port=6432 dbname=bookings user=branch-desks"
 //                      "host=10.0.2.5 port=6432 dbname=bookings user=branch-desks" 1
 //
-// The token says how far the session has read and written, so that the second host
-// knows at once how fresh an answer has to be. Without it nothing is lost: the first
-// read waits for one confirmed look at the primary instead.
+// The session token holds the log position of the session's last write or read, so the
+// second host knows at once how fresh an answer has to be. A session without a token still
+// reads its own writes, but its first read waits until the primary's position is confirmed.
 
 #include "caller.h"
 
@@ -16,31 +16,31 @@
 
 using samples::Caller;
 
-std::string withToken(const std::string &conninfo, const std::string &token)
+std::string conninfoWithToken(const std::string &conninfo, const std::string &token)
 {
     return conninfo + " options='-c egrettide.session=" + token + "'";
 }
 
-// Whether the connection sees the note.
-bool sees(Caller &caller, const std::string &id)
+// True if a read on the connection returns the note.
+bool isVisible(Caller &caller, const std::string &noteId)
 {
-    return !caller.need("SELECT id FROM sample_notes WHERE id = " + id).rows.empty();
+    return !caller.runOrThrow("SELECT id FROM sample_notes WHERE id = " + noteId).rows.empty();
 }
 
-int run(const std::string &first, const std::string &second, const std::string &id)
+int run(const std::string &firstConninfo, const std::string &secondConninfo, const std::string &noteId)
 {
-    Caller before(first);
-    before.need("CREATE TABLE IF NOT EXISTS sample_notes (id int8 PRIMARY KEY)");
-    before.need("INSERT INTO sample_notes (id) VALUES (" + id + ") ON CONFLICT DO NOTHING");
-    const std::string token = before.token();
+    Caller firstCaller(firstConninfo);
+    firstCaller.runOrThrow("CREATE TABLE IF NOT EXISTS sample_notes (id int8 PRIMARY KEY)");
+    firstCaller.runOrThrow("INSERT INTO sample_notes (id) VALUES (" + noteId + ") ON CONFLICT DO NOTHING");
+    const std::string token = firstCaller.token();
     if (token.empty()) {
-        std::cerr << "no token was reported after a write\n";
+        std::cerr << "the host reported no session token after a write\n";
         return 1;
     }
-    Caller after(withToken(second, token));
-    Caller stranger(second);
-    const bool seen = sees(after, id);
-    const bool seenWithoutToken = sees(stranger, id);
+    Caller callerWithToken(conninfoWithToken(secondConninfo, token));
+    Caller callerWithoutToken(secondConninfo);
+    const bool seen = isVisible(callerWithToken, noteId);
+    const bool seenWithoutToken = isVisible(callerWithoutToken, noteId);
     std::cout << "with the token: " << (seen ? "seen" : "MISSING") << '\n'
               << "without it: " << (seenWithoutToken ? "seen" : "MISSING") << '\n';
     return seen && seenWithoutToken ? 0 : 1;
@@ -56,8 +56,8 @@
     }
     try {
         return run(argv[1], argv[2], argv[3]);
-    } catch (const std::exception &failure) {
-        std::cerr << failure.what() << '\n';
+    } catch (const std::exception &error) {
+        std::cerr << error.what() << '\n';
         return 1;
     }
 }
