--- a/tests/core/proofs_test.cpp
+++ b/tests/core/proofs_test.cpp
@@ -1,5 +1,5 @@
-// docs/PROOFS.md names tests as evidence; each of them has to exist. Every
-// *_test.cpp is a program that ctest runs whole, so what exists is run.
+// Tests of docs/PROOFS.md: every test that the page names as evidence must exist. ctest
+// runs every *_test.cpp as one program with all of its cases, so an existing case is run.
 
 #define BOOST_TEST_MODULE Proofs
 #include <boost/test/unit_test.hpp>
@@ -17,51 +17,51 @@
 
 namespace fs = std::filesystem;
 
-fs::path source()
+fs::path sourceDirectory()
 {
-    const char *const set = std::getenv("EGRETTIDE_SOURCE");
-    return set != nullptr ? fs::path(set) : fs::current_path();
+    const char *const configured = std::getenv("EGRETTIDE_SOURCE");
+    return configured != nullptr ? fs::path(configured) : fs::current_path();
 }
 
-std::string textOf(const fs::path &path)
+std::string readFile(const fs::path &path)
 {
     std::ifstream file(path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    BOOST_REQUIRE_MESSAGE(!text.empty(), "cannot read " << path << "; run by ctest, which sets EGRETTIDE_SOURCE");
+    BOOST_REQUIRE_MESSAGE(!text.empty(), "cannot read " << path << "; run this test with ctest, which sets EGRETTIDE_SOURCE");
     return text;
 }
 
-// All matches of the pattern's first group.
-std::set<std::string> matches(const std::string &text, const std::string &pattern)
+// Returns the first capture group of every match of the pattern.
+std::set<std::string> firstGroups(const std::string &text, const std::string &pattern)
 {
     const std::regex expression(pattern);
     std::set<std::string> found;
-    for (std::sregex_iterator at(text.begin(), text.end(), expression), end; at != end; ++at) {
-        found.insert((*at)[1]);
+    for (std::sregex_iterator match(text.begin(), text.end(), expression), end; match != end; ++match) {
+        found.insert((*match)[1]);
     }
     return found;
 }
 
-// "program: Suite/Case" of a test file; suites are not nested here.
+// Adds the test cases of a file as "program: Suite/Case". Nested suites are not supported.
 void addCases(const fs::path &file, std::set<std::string> &cases)
 {
-    static const std::regex line(R"(BOOST_(?:AUTO|FIXTURE)_TEST_(SUITE|CASE)\((\w+))");
-    const std::string text = textOf(file);
+    static const std::regex macro(R"(BOOST_(?:AUTO|FIXTURE)_TEST_(SUITE|CASE)\((\w+))");
+    const std::string text = readFile(file);
     std::string suite;
-    for (std::sregex_iterator at(text.begin(), text.end(), line), end; at != end; ++at) {
-        if ((*at)[1] == "SUITE") {
-            suite = (*at)[2];
+    for (std::sregex_iterator match(text.begin(), text.end(), macro), end; match != end; ++match) {
+        if ((*match)[1] == "SUITE") {
+            suite = (*match)[2];
         } else {
-            cases.insert(file.stem().string() + ": " + suite + "/" + (*at)[2].str());
+            cases.insert(file.stem().string() + ": " + suite + "/" + (*match)[2].str());
         }
     }
 }
 
-std::set<std::string> allCases()
+std::set<std::string> existingCases()
 {
     std::set<std::string> cases;
     for (const char *folder : {"core", "runtime", "process"}) {
-        for (const auto &entry : fs::directory_iterator(source() / "tests" / folder)) {
+        for (const auto &entry : fs::directory_iterator(sourceDirectory() / "tests" / folder)) {
             if (entry.path().filename().string().ends_with("_test.cpp")) {
                 addCases(entry.path(), cases);
             }
@@ -70,14 +70,15 @@
     return cases;
 }
 
-// Every "program: Suite/Case, Suite/Case" of the page, one entry each.
+// Returns the cases that the page names: "program: Suite/A, Suite/B" yields
+// "program: Suite/A" and "program: Suite/B".
 std::set<std::string> namedCases(const std::string &page)
 {
-    static const std::regex list(R"((\w+_test): ([^;|\n]*))");
+    static const std::regex reference(R"((\w+_test): ([^;|\n]*))");
     std::set<std::string> named;
-    for (std::sregex_iterator at(page.begin(), page.end(), list), end; at != end; ++at) {
-        for (const std::string &name : matches((*at)[2], R"(\b([A-Z]\w*/[A-Z]\w+))")) {
-            named.insert((*at)[1].str() + ": " + name);
+    for (std::sregex_iterator match(page.begin(), page.end(), reference), end; match != end; ++match) {
+        for (const std::string &name : firstGroups((*match)[2], R"(\b([A-Z]\w*/[A-Z]\w+))")) {
+            named.insert((*match)[1].str() + ": " + name);
         }
     }
     return named;
@@ -89,32 +90,32 @@
 
 BOOST_AUTO_TEST_CASE(NamesTestsThatExist)
 {
-    const std::set<std::string> cases = allCases();
-    const std::set<std::string> named = namedCases(textOf(source() / "docs" / "PROOFS.md"));
-    BOOST_TEST(named.size() > 50U, "only " << named.size() << " tests were found on the page; its form has changed");
+    const std::set<std::string> cases = existingCases();
+    const std::set<std::string> named = namedCases(readFile(sourceDirectory() / "docs" / "PROOFS.md"));
+    BOOST_TEST(named.size() > 50U, "only " << named.size() << " tests were found on the page; its format has changed");
     for (const std::string &name : named) {
-        BOOST_TEST(cases.contains(name), "docs/PROOFS.md names " << name << ", which does not exist; mend the page");
+        BOOST_TEST(cases.contains(name), "docs/PROOFS.md names " << name << ", which does not exist; correct the page");
     }
 }
 
-BOOST_AUTO_TEST_CASE(NamesDeploymentsThatExist)
+BOOST_AUTO_TEST_CASE(NamesDeploymentTestsThatExist)
 {
-    const std::string deployments = textOf(source() / "tests" / "process" / "deployment_test.py");
-    const auto named = matches(textOf(source() / "docs" / "PROOFS.md"), R"(process\.deployment\.(\w+))");
+    const std::string deploymentTests = readFile(sourceDirectory() / "tests" / "process" / "deployment_test.py");
+    const auto named = firstGroups(readFile(sourceDirectory() / "docs" / "PROOFS.md"), R"(process\.deployment\.(\w+))");
     BOOST_TEST(named.size() > 3U);
     for (const std::string &name : named) {
-        BOOST_TEST(deployments.find("def test_" + name + "(") != std::string::npos,
-                   "docs/PROOFS.md names the deployment " << name << ", which does not exist; mend the page");
+        BOOST_TEST(deploymentTests.find("def test_" + name + "(") != std::string::npos,
+                   "docs/PROOFS.md names the deployment test " << name << ", which does not exist; correct the page");
     }
 }
 
-BOOST_AUTO_TEST_CASE(HasARowForEachOfTheNinePoints)
+BOOST_AUTO_TEST_CASE(ListsNineInvariantsWithTheirStates)
 {
-    const std::string page = textOf(source() / "docs" / "PROOFS.md");
+    const std::string page = readFile(sourceDirectory() / "docs" / "PROOFS.md");
     const std::string table = page.substr(0, page.find("\n## "));
     const auto states = std::regex(R"(\| (proved|partial|not run) \|\n)");
     const auto rows = std::distance(std::sregex_iterator(table.begin(), table.end(), states), std::sregex_iterator());
-    BOOST_TEST(rows == 9, "the table has " << rows << " rows with a state of the three; the brief has nine points");
+    BOOST_TEST(rows == 9, "the table has " << rows << " invariants with the state proved, partial or not run; expected nine");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
