--- a/bench/overloadmodel.h
+++ b/bench/overloadmodel.h
@@ -1,7 +1,7 @@
-// A deterministic model of one upstream under too much load: callers of two
-// classes that ask again when refused or late, a policy that hands out slots, and
-// the upstream's own servers. Shared by the overload bench and its test. Same
-// settings and seed, same figures; no clock is read.
+// A discrete-event simulation of one upstream under overload: callers of several
+// classes that retry after refusals and timeouts, a policy that assigns slots, and the
+// upstream's servers. Shared by the overload benchmark and its test. Runs in simulated
+// time; the same options and seed give the same figures.
 
 #pragma once
 
@@ -30,7 +30,8 @@
     return std::chrono::duration_cast<Nanoseconds>(std::chrono::duration<double>(seconds));
 }
 
-// What hands out slots. Mirrors SlotScheduler, so that a baseline can stand in.
+// Assigns the slots. Has the part of SlotScheduler's interface that the model calls, so
+// that a baseline can take the scheduler's place.
 class SlotPolicy
 {
 public:
@@ -43,10 +44,10 @@
     virtual SlotActions resume(TimePoint now) = 0;
 };
 
-class ScheduledPolicy : public SlotPolicy
+class SchedulerPolicy : public SlotPolicy
 {
 public:
-    explicit ScheduledPolicy(SlotSchedulerOptions options) : m_scheduler(std::move(options))
+    explicit SchedulerPolicy(SlotSchedulerOptions options) : m_scheduler(std::move(options))
     {
     }
     Admission enqueue(const StatementTicket &ticket, TimePoint now) override
@@ -78,7 +79,7 @@
     SlotScheduler m_scheduler;
 };
 
-// The naive version: first come, first served, no classes, nothing refused.
+// The baseline: a FIFO queue without classes that refuses nothing.
 class FifoPolicy : public SlotPolicy
 {
 public:
@@ -97,7 +98,7 @@
     SlotActions finished(std::uint64_t, TimePoint, Nanoseconds) override
     {
         --m_inUse;
-        return serve();
+        return dispatch();
     }
     SlotActions expire(TimePoint) override
     {
@@ -114,11 +115,11 @@
     SlotActions resume(TimePoint) override
     {
         m_paused = false;
-        return serve();
+        return dispatch();
     }
 
 private:
-    SlotActions serve()
+    SlotActions dispatch()
     {
         SlotActions actions;
         while (!m_paused && m_inUse < m_slots && !m_queue.empty()) {
@@ -137,7 +138,7 @@
 
 struct ClassLoad {
     std::string name;
-    // Part of the upstream's capacity that first asks of this class need.
+    // Offered load of this class without retries, as a fraction of the upstream's capacity.
     double load = 0.1;
     Nanoseconds meanService = std::chrono::microseconds(6800);
     milliseconds timeout{2000};
@@ -146,47 +147,52 @@
 
 struct ModelOptions {
     std::vector<ClassLoad> classes;
-    // Servers that the upstream really has; the policy may believe in more.
+    // Servers of the upstream, each of which runs one statement at a time; the policy may
+    // assume more.
     int servers = 5;
-    // From then on the upstream has fewer servers, and each statement that it has to
-    // queue slows all others down by this part.
+    // From `degradedFrom` after the start, the upstream has `degradedServers` servers; 0 for
+    // no change.
     milliseconds degradedFrom{0};
     int degradedServers = 0;
+    // Relative increase of a statement's service time for each statement that is queued at
+    // the upstream when it starts; applies during the whole run.
     double contention = 0;
-    // How often a caller asks for one thing, first ask included.
-    int asks = 4;
-    // True for callers that come back when they are told to; others do after
-    // `impatience`, whatever they are told.
+    // Attempts per request, including the first.
+    int maxAttempts = 4;
+    // True if callers retry a refused attempt after Error::retryAfter; otherwise after
+    // `retryDelay`, as they always do after a timeout.
     bool honoursRetryAfter = true;
-    milliseconds impatience{100};
+    milliseconds retryDelay{100};
     milliseconds warmUp{5000};
     milliseconds measured{30000};
-    // A planned change of primary: writes are paused in between.
+    // The policy is paused between these times after the start, as during a planned change of
+    // primary: the scheduler holds back writes, the FIFO queue all statements.
     milliseconds pausedFrom{0};
     milliseconds pausedUntil{0};
     std::uint64_t seed = 20261202;
 };
 
-// What happened to one class during the measured time.
+// Results of the requests of one class that arrived during the measured time.
 struct ClassResult {
     std::uint64_t requests = 0;
-    std::uint64_t asks = 0;
+    std::uint64_t attempts = 0;
     std::uint64_t answered = 0;
     std::uint64_t refusals = 0;
-    std::uint64_t late = 0;
-    // Asks that left for the upstream.
-    std::uint64_t executed = 0;
-    // From an ask to its answer in time.
+    std::uint64_t timeouts = 0;
+    // Attempts sent to the upstream.
+    std::uint64_t sent = 0;
+    // From an attempt to its answer; only answers before the timeout.
     Histogram latency;
-    // From an ask to its refusal.
+    // From an attempt to its refusal.
     Histogram refusalDelay;
 };
 
 struct ModelResult {
     std::map<std::string, ClassResult> classes;
-    // Answers in time, in service time, as a part of what the servers can do.
+    // Service time of statements answered before their timeout, as a fraction of the
+    // capacity of the initial servers.
     double goodput = 0;
-    // Statements run by the upstream for each answer in time.
+    // Statements sent to the upstream for each answer before the timeout.
     double amplification = 0;
 };
 
@@ -204,11 +210,11 @@
             scheduleArrival(index);
         }
         if (m_options.pausedUntil > m_options.pausedFrom) {
-            at(start() + m_options.pausedFrom, [this] { m_policy->pause(); });
-            at(start() + m_options.pausedUntil, [this] { take(m_policy->resume(m_now)); });
+            schedule(start() + m_options.pausedFrom, [this] { m_policy->pause(); });
+            schedule(start() + m_options.pausedUntil, [this] { apply(m_policy->resume(m_now)); });
         }
         if (m_options.degradedServers > 0) {
-            at(start() + m_options.degradedFrom, [this] { m_options.servers = m_options.degradedServers; });
+            schedule(start() + m_options.degradedFrom, [this] { m_options.servers = m_options.degradedServers; });
         }
         const TimePoint end = start() + m_options.warmUp + m_options.measured;
         while (!m_events.empty() && m_events.top().at <= end) {
@@ -218,7 +224,7 @@
             event.action();
             scheduleExpiry();
         }
-        return summary();
+        return summarize();
     }
 
 private:
@@ -233,22 +239,22 @@
         }
     };
 
-    // One thing that a caller wants; it may ask for it several times.
+    // One request of a caller, made in one or more attempts.
     struct Request {
         std::size_t classIndex = 0;
         std::string tenant;
         bool isWrite = false;
-        int asks = 0;
-        bool counts = false;
+        int attempts = 0;
+        bool isMeasured = false;
     };
 
-    struct Ask {
+    struct Attempt {
         std::uint64_t request = 0;
-        TimePoint askedAt;
+        TimePoint startedAt;
         TimePoint deadline;
         TimePoint sentAt;
         Nanoseconds service{0};
-        // False once the caller has its answer or has turned away.
+        // False after the timeout: the caller no longer waits for the answer.
         bool isAwaited = true;
     };
 
@@ -257,7 +263,7 @@
         return TimePoint(std::chrono::hours(1));
     }
 
-    void at(TimePoint when, std::function<void()> action)
+    void schedule(TimePoint when, std::function<void()> action)
     {
         m_events.push({when, m_nextOrder++, std::move(action)});
     }
@@ -275,8 +281,8 @@
         }
         const double service = std::chrono::duration<double>(load.meanService).count();
         const double interval = service / (load.load * m_capacity);
-        at(std::max(m_now, start()) + fromSeconds(exponential(interval)), [this, classIndex] {
-            arrive(classIndex);
+        schedule(std::max(m_now, start()) + fromSeconds(exponential(interval)), [this, classIndex] {
+            onArrival(classIndex);
             scheduleArrival(classIndex);
         });
     }
@@ -286,7 +292,7 @@
         return m_now >= start() + m_options.warmUp;
     }
 
-    void arrive(std::size_t classIndex)
+    void onArrival(std::size_t classIndex)
     {
         const ClassLoad &load = m_options.classes[classIndex];
         const std::uint64_t id = m_nextRequest++;
@@ -294,124 +300,124 @@
         request.classIndex = classIndex;
         request.tenant = load.name + std::to_string(m_random() % static_cast<std::uint64_t>(load.tenants));
         request.isWrite = m_random() % 2 == 0;
-        request.counts = isMeasured();
-        if (request.counts) {
+        request.isMeasured = isMeasured();
+        if (request.isMeasured) {
             ++result(request).requests;
         }
-        ask(id);
+        startAttempt(id);
     }
 
-    void ask(std::uint64_t requestId)
+    void startAttempt(std::uint64_t requestId)
     {
         Request &request = m_requests[requestId];
         const ClassLoad &load = m_options.classes[request.classIndex];
-        ++request.asks;
-        const std::uint64_t id = m_nextAsk++;
-        Ask &ask = m_asks[id];
-        ask.request = requestId;
-        ask.askedAt = m_now;
-        ask.deadline = m_now + load.timeout;
-        ask.service = fromSeconds(exponential(std::chrono::duration<double>(load.meanService).count()));
-        if (request.counts) {
-            ++result(request).asks;
+        ++request.attempts;
+        const std::uint64_t id = m_nextAttempt++;
+        Attempt &attempt = m_attempts[id];
+        attempt.request = requestId;
+        attempt.startedAt = m_now;
+        attempt.deadline = m_now + load.timeout;
+        attempt.service = fromSeconds(exponential(std::chrono::duration<double>(load.meanService).count()));
+        if (request.isMeasured) {
+            ++result(request).attempts;
         }
-        at(ask.deadline, [this, id] { timeOut(id); });
+        schedule(attempt.deadline, [this, id] { onTimeout(id); });
         const StatementTicket ticket{
-            id, load.name, request.tenant, ask.deadline, request.isWrite ? StatementKind::Write : StatementKind::Read, false};
+            id, load.name, request.tenant, attempt.deadline, request.isWrite ? StatementKind::Write : StatementKind::Read, false};
         const Admission admission = m_policy->enqueue(ticket, m_now);
         if (admission.state == AdmissionState::Admitted) {
             send(id);
         } else if (admission.state == AdmissionState::Refused) {
-            refused(id, *admission.error);
+            onRefused(id, *admission.error);
         }
     }
 
-    void take(const SlotActions &actions)
+    void apply(const SlotActions &actions)
     {
         for (const std::uint64_t id : actions.admitted) {
             send(id);
         }
         for (const TicketRefusal &refusal : actions.refused) {
-            refused(refusal.id, refusal.error);
+            onRefused(refusal.id, refusal.error);
         }
     }
 
     void send(std::uint64_t id)
     {
-        m_asks[id].sentAt = m_now;
-        const Request &request = m_requests[m_asks[id].request];
-        if (request.counts) {
-            ++result(request).executed;
+        m_attempts[id].sentAt = m_now;
+        const Request &request = m_requests[m_attempts[id].request];
+        if (request.isMeasured) {
+            ++result(request).sent;
         }
         m_upstreamQueue.push_back(id);
-        serve();
+        startService();
     }
 
-    void serve()
+    void startService()
     {
-        while (m_serving < m_options.servers && !m_upstreamQueue.empty()) {
+        while (m_busyServers < m_options.servers && !m_upstreamQueue.empty()) {
             const std::uint64_t id = m_upstreamQueue.front();
             m_upstreamQueue.pop_front();
-            ++m_serving;
-            const double slower = 1 + m_options.contention * static_cast<double>(m_upstreamQueue.size());
-            at(m_now + fromSeconds(std::chrono::duration<double>(m_asks[id].service).count() * slower),
-               [this, id] { answer(id); });
+            ++m_busyServers;
+            const double slowdown = 1 + m_options.contention * static_cast<double>(m_upstreamQueue.size());
+            schedule(m_now + fromSeconds(std::chrono::duration<double>(m_attempts[id].service).count() * slowdown),
+                     [this, id] { onAnswered(id); });
         }
     }
 
-    void answer(std::uint64_t id)
+    void onAnswered(std::uint64_t id)
     {
-        --m_serving;
-        const Ask ask = m_asks[id];
-        m_asks.erase(id);
-        const Request &request = m_requests[ask.request];
-        if (ask.isAwaited) {
+        --m_busyServers;
+        const Attempt attempt = m_attempts[id];
+        m_attempts.erase(id);
+        const Request &request = m_requests[attempt.request];
+        if (attempt.isAwaited) {
             if (isMeasured()) {
-                m_goodService += std::chrono::duration<double>(ask.service).count();
+                m_usefulServiceSeconds += std::chrono::duration<double>(attempt.service).count();
             }
-            if (request.counts) {
+            if (request.isMeasured) {
                 ++result(request).answered;
-                result(request).latency.record(m_now - ask.askedAt);
+                result(request).latency.record(m_now - attempt.startedAt);
             }
-            m_requests.erase(ask.request);
+            m_requests.erase(attempt.request);
         }
-        serve();
-        take(m_policy->finished(id, m_now, m_now - ask.sentAt));
+        startService();
+        apply(m_policy->finished(id, m_now, m_now - attempt.sentAt));
     }
 
-    void refused(std::uint64_t id, const Error &error)
+    void onRefused(std::uint64_t id, const Error &error)
     {
-        const Ask ask = m_asks[id];
-        m_asks.erase(id);
-        const Request &request = m_requests[ask.request];
-        if (request.counts) {
+        const Attempt attempt = m_attempts[id];
+        m_attempts.erase(id);
+        const Request &request = m_requests[attempt.request];
+        if (request.isMeasured) {
             ++result(request).refusals;
-            result(request).refusalDelay.record(m_now - ask.askedAt);
+            result(request).refusalDelay.record(m_now - attempt.startedAt);
         }
-        askAgain(ask.request, m_options.honoursRetryAfter ? error.retryAfter : m_options.impatience);
+        retry(attempt.request, m_options.honoursRetryAfter ? error.retryAfter : m_options.retryDelay);
     }
 
-    void timeOut(std::uint64_t id)
+    void onTimeout(std::uint64_t id)
     {
-        const auto found = m_asks.find(id);
-        if (found == m_asks.end()) {
+        const auto found = m_attempts.find(id);
+        if (found == m_attempts.end()) {
             return;
         }
         found->second.isAwaited = false;
         const Request &request = m_requests[found->second.request];
-        if (request.counts) {
-            ++result(request).late;
+        if (request.isMeasured) {
+            ++result(request).timeouts;
         }
-        askAgain(found->second.request, m_options.impatience);
+        retry(found->second.request, m_options.retryDelay);
     }
 
-    void askAgain(std::uint64_t requestId, milliseconds after)
+    void retry(std::uint64_t requestId, milliseconds after)
     {
-        if (m_requests[requestId].asks >= m_options.asks) {
+        if (m_requests[requestId].attempts >= m_options.maxAttempts) {
             m_requests.erase(requestId);
             return;
         }
-        at(m_now + after, [this, requestId] { ask(requestId); });
+        schedule(m_now + after, [this, requestId] { startAttempt(requestId); });
     }
 
     void scheduleExpiry()
@@ -421,7 +427,7 @@
             return;
         }
         m_expiryAt = std::max(next, m_now);
-        at(m_expiryAt, [this] { take(m_policy->expire(m_now)); });
+        schedule(m_expiryAt, [this] { apply(m_policy->expire(m_now)); });
     }
 
     ClassResult &result(const Request &request)
@@ -429,41 +435,42 @@
         return m_result.classes[m_options.classes[request.classIndex].name];
     }
 
-    ModelResult summary()
+    ModelResult summarize()
     {
         const double capacity = std::chrono::duration<double>(m_options.measured).count() * m_capacity;
-        m_result.goodput = m_goodService / capacity;
-        std::uint64_t executed = 0;
+        m_result.goodput = m_usefulServiceSeconds / capacity;
+        std::uint64_t sent = 0;
         std::uint64_t answered = 0;
         for (const auto &[name, classResult] : m_result.classes) {
-            executed += classResult.executed;
+            sent += classResult.sent;
             answered += classResult.answered;
         }
-        m_result.amplification = answered == 0 ? 0 : static_cast<double>(executed) / static_cast<double>(answered);
+        m_result.amplification = answered == 0 ? 0 : static_cast<double>(sent) / static_cast<double>(answered);
         return m_result;
     }
 
     ModelOptions m_options;
     std::unique_ptr<SlotPolicy> m_policy;
     std::mt19937_64 m_random;
-    // Servers at the start; loads and goodput are parts of these.
+    // Initial number of servers; loads and goodput are fractions of it.
     int m_capacity = m_options.servers;
     TimePoint m_now = start();
     std::priority_queue<Event> m_events;
     std::uint64_t m_nextOrder = 0;
     std::uint64_t m_nextRequest = 1;
-    std::uint64_t m_nextAsk = 1;
+    std::uint64_t m_nextAttempt = 1;
     std::unordered_map<std::uint64_t, Request> m_requests;
-    // Asks that are queued or at the upstream, awaited or not.
-    std::unordered_map<std::uint64_t, Ask> m_asks;
+    // Attempts that are queued or at the upstream, including those that have timed out.
+    std::unordered_map<std::uint64_t, Attempt> m_attempts;
     std::deque<std::uint64_t> m_upstreamQueue;
-    int m_serving = 0;
+    int m_busyServers = 0;
     TimePoint m_expiryAt = TimePoint::min();
-    double m_goodService = 0;
+    double m_usefulServiceSeconds = 0;
     ModelResult m_result;
 };
 
-// Desks and parents as the bench and the test use them.
+// The scheduler options of the benchmark and the test: `desks` have a higher
+// priority and a reservation, `parents` have no reservation.
 inline SlotSchedulerOptions schedulerOptions(int slots)
 {
     SlotSchedulerOptions options;
@@ -495,7 +502,7 @@
 
 inline ModelResult runScheduled(const ModelOptions &model, const SlotSchedulerOptions &scheduler)
 {
-    return OverloadModel(model, std::make_unique<ScheduledPolicy>(scheduler)).run();
+    return OverloadModel(model, std::make_unique<SchedulerPolicy>(scheduler)).run();
 }
 
 inline ModelResult runFifo(const ModelOptions &model, int slots)
--- a/tests/core/overload_test.cpp
+++ b/tests/core/overload_test.cpp
@@ -76,7 +76,7 @@
     // does not recover.
     ModelOptions model = shortModel(5, 0.7);
     model.honoursRetryAfter = false;
-    model.asks = 10;
+    model.maxAttempts = 10;
     model.pausedFrom = 7s;
     model.pausedUntil = 9500ms;
     const ModelResult scheduled = runScheduled(model, schedulerOptions(5));
