--- a/bench/placement_compare.cpp
+++ b/bench/placement_compare.cpp
@@ -1,6 +1,8 @@
-// Compares ways to choose homes: rendezvous hashing without and with a bound,
-// a hash ring with virtual nodes, and the partition table of the paper, with
-// history and without. Run: build/release/placement-compare
+// Compares schemes that assign upstreams to their homes: rendezvous hashing without and with
+// a load bound, and the hash ring with virtual nodes and the partition table of "Partition
+// Ring vs. Hash Ring", the table updated incrementally or rebuilt. Measures the spread over
+// the hosts, the upstreams that move when a host leaves or returns, time and memory.
+// Run: build/release/placement-compare
 
 #include "egrettide/core/placement.h"
 
@@ -30,8 +32,8 @@
 
 using Homes = std::vector<std::string>;
 
-// One way to choose homes. `build` sees the fleet after every change of hosts
-// and may keep state between calls; `lookup` answers for one upstream.
+// One scheme that assigns homes. build() is called after every change of the hosts and may
+// keep state between calls; lookup() returns the home of one upstream.
 class Scheme
 {
 public:
@@ -40,7 +42,8 @@
     virtual void build(const Fleet &fleet) = 0;
     virtual std::string lookup(const PlacementUpstream &upstream) const = 0;
     virtual std::size_t memoryBytes() const = 0;
-    // Whether a host that just started, knowing only the view, gets the same homes.
+    // True if the homes depend on earlier builds, so that a host that has just started and
+    // knows only the current view may compute others.
     virtual bool needsHistory() const = 0;
 };
 
@@ -85,7 +88,9 @@
     std::unique_ptr<Placement> m_placement;
 };
 
-// The more common ring of the paper: sorted hashes of virtual nodes.
+// Consistent hashing on a ring per zone: the sorted hashes of each host's virtual nodes. An
+// upstream's home owns the first virtual node at or after the upstream's hash, or else the first
+// of the ring.
 class HashRing : public Scheme
 {
 public:
@@ -123,7 +128,7 @@
         for (const auto &[zone, ring] : m_rings) {
             nodes += ring.size();
         }
-        // A hash and an index of a host, as a lean implementation would keep.
+        // Assumes a compact entry: a 64-bit hash and a 32-bit host index.
         return nodes * (8 + 4);
     }
 
@@ -136,9 +141,9 @@
     std::map<std::string, std::vector<std::pair<std::uint64_t, std::string>>> m_rings;
 };
 
-// The paper's partition table, one per zone. With history, partitions move only
-// from a host that goes or to a host that comes; without, the table is dealt
-// anew from the sorted list of hosts.
+// A table per zone from hash partitions to hosts. With history, partitions move only from a
+// leaving host or to a joining host; without, every build assigns them round-robin to the
+// sorted hosts.
 class PartitionTable : public Scheme
 {
 public:
@@ -149,7 +154,7 @@
 
     std::string name() const override
     {
-        return std::string("partition table, ") + (m_keepsHistory ? "kept" : "dealt anew") + ", "
+        return std::string("partition table, ") + (m_keepsHistory ? "incremental" : "rebuilt") + ", "
             + std::to_string(m_partitionsPerHost) + "/host";
     }
 
@@ -191,6 +196,7 @@
         for (const auto &[zone, table] : m_tables) {
             partitions += table.size();
         }
+        // Assumes a 16-bit host index per partition.
         return partitions * 2;
     }
 
@@ -214,23 +220,23 @@
                 ++found->second;
             }
         }
-        const auto least = [&loads] {
+        const auto leastLoaded = [&loads] {
             return std::min_element(loads.begin(), loads.end(), [](const auto &a, const auto &b) { return a.second < b.second; });
         };
         for (std::string &owner : table) {
             if (owner.empty()) {
-                const auto to = least();
-                owner = to->first;
-                ++to->second;
+                const auto target = leastLoaded();
+                owner = target->first;
+                ++target->second;
             }
         }
-        const std::size_t most = (table.size() + hosts.size() - 1) / hosts.size();
+        const std::size_t evenShare = (table.size() + hosts.size() - 1) / hosts.size();
         for (std::string &owner : table) {
-            const auto to = least();
-            if (loads[owner] > most || (loads[owner] > to->second + 1)) {
+            const auto target = leastLoaded();
+            if (loads[owner] > evenShare || (loads[owner] > target->second + 1)) {
                 --loads[owner];
-                owner = to->first;
-                ++to->second;
+                owner = target->first;
+                ++target->second;
             }
         }
     }
@@ -262,7 +268,7 @@
     return homes;
 }
 
-std::size_t moved(const Homes &before, const Homes &after)
+std::size_t countMoved(const Homes &before, const Homes &after)
 {
     std::size_t count = 0;
     for (std::size_t i = 0; i < before.size(); ++i) {
@@ -271,14 +277,14 @@
     return count;
 }
 
-struct Spread {
+struct LoadSpread {
     double mean = 0;
-    std::size_t most = 0;
-    std::size_t idle = 0;
-    double deviation = 0;
+    std::size_t maximum = 0;
+    std::size_t idleHosts = 0;
+    double standardDeviation = 0;
 };
 
-Spread spreadOf(const Homes &homes, const Fleet &fleet)
+LoadSpread spreadOf(const Homes &homes, const Fleet &fleet)
 {
     std::map<std::string, std::size_t> loads;
     for (const PlacementHost &host : fleet.hosts) {
@@ -287,29 +293,29 @@
     for (const std::string &home : homes) {
         ++loads[home];
     }
-    Spread spread;
+    LoadSpread spread;
     spread.mean = static_cast<double>(homes.size()) / static_cast<double>(loads.size());
     for (const auto &[host, load] : loads) {
-        spread.most = std::max(spread.most, load);
-        spread.idle += load == 0 ? 1 : 0;
-        spread.deviation += (static_cast<double>(load) - spread.mean) * (static_cast<double>(load) - spread.mean);
+        spread.maximum = std::max(spread.maximum, load);
+        spread.idleHosts += load == 0 ? 1 : 0;
+        spread.standardDeviation += (static_cast<double>(load) - spread.mean) * (static_cast<double>(load) - spread.mean);
     }
-    spread.deviation = std::sqrt(spread.deviation / static_cast<double>(loads.size()));
+    spread.standardDeviation = std::sqrt(spread.standardDeviation / static_cast<double>(loads.size()));
     return spread;
 }
 
-double nanosecondsEach(std::size_t times, const std::function<void()> &work)
+double meanNanoseconds(std::size_t times, const std::function<void()> &work)
 {
     const auto begin = std::chrono::steady_clock::now();
     for (std::size_t i = 0; i < times; ++i) {
         work();
     }
-    const std::chrono::duration<double, std::nano> taken = std::chrono::steady_clock::now() - begin;
-    return taken.count() / static_cast<double>(times);
+    const std::chrono::duration<double, std::nano> elapsed = std::chrono::steady_clock::now() - begin;
+    return elapsed.count() / static_cast<double>(times);
 }
 
-// Upstreams whose home changes when one host goes, and when it comes back, as
-// means over several hosts. `needless` leaves out those that were on that host.
+// Mean numbers, over several hosts, of upstreams whose home changes when one host leaves and
+// when it returns. `needless` excludes those whose home was that host.
 struct Movement {
     double removed = 0;
     double needless = 0;
@@ -324,17 +330,17 @@
     for (std::size_t trial = 0; trial < trials; ++trial) {
         scheme.build(fleet);
         const Homes before = homesOf(scheme, fleet);
-        Fleet smaller = fleet;
-        const std::size_t gone = trial * fleet.hosts.size() / trials;
-        const auto own = std::count(before.begin(), before.end(), fleet.hosts[gone].name);
-        smaller.hosts.erase(smaller.hosts.begin() + static_cast<std::ptrdiff_t>(gone));
-        scheme.build(smaller);
-        const Homes without = homesOf(scheme, fleet);
+        Fleet remaining = fleet;
+        const std::size_t removedIndex = trial * fleet.hosts.size() / trials;
+        const auto homesOnRemoved = std::count(before.begin(), before.end(), fleet.hosts[removedIndex].name);
+        remaining.hosts.erase(remaining.hosts.begin() + static_cast<std::ptrdiff_t>(removedIndex));
+        scheme.build(remaining);
+        const Homes afterRemoval = homesOf(scheme, fleet);
         scheme.build(fleet);
-        const Homes again = homesOf(scheme, fleet);
-        movement.removed += static_cast<double>(moved(before, without));
-        movement.needless += static_cast<double>(moved(before, without)) - static_cast<double>(own);
-        movement.returned += static_cast<double>(moved(without, again));
+        const Homes afterReturn = homesOf(scheme, fleet);
+        movement.removed += static_cast<double>(countMoved(before, afterRemoval));
+        movement.needless += static_cast<double>(countMoved(before, afterRemoval)) - static_cast<double>(homesOnRemoved);
+        movement.returned += static_cast<double>(countMoved(afterRemoval, afterReturn));
     }
     movement.removed /= static_cast<double>(trials);
     movement.needless /= static_cast<double>(trials);
@@ -346,19 +352,21 @@
 {
     scheme.build(fleet);
     const Homes homes = homesOf(scheme, fleet);
-    const Spread spread = spreadOf(homes, fleet);
+    const LoadSpread spread = spreadOf(homes, fleet);
     std::size_t next = 0;
-    std::size_t sink = 0;
-    const double lookup = nanosecondsEach(200000, [&] {
-        sink += scheme.lookup(fleet.upstreams[next]).size();
+    // Uses the results, so that the compiler does not remove the lookups.
+    std::size_t totalLength = 0;
+    const double lookupNanoseconds = meanNanoseconds(200000, [&] {
+        totalLength += scheme.lookup(fleet.upstreams[next]).size();
         next = (next + 1) % fleet.upstreams.size();
     });
-    const double build = nanosecondsEach(20, [&] { scheme.build(fleet); });
+    const double buildNanoseconds = meanNanoseconds(20, [&] { scheme.build(fleet); });
     const Movement movement = movementOf(scheme, fleet);
     std::printf("%-38s %5.2f %4zu %5.2f %5zu %8.2f %9.2f %8.2f %8.0f %9.0f %8zu  %s\n", scheme.name().c_str(), spread.mean,
-                spread.most, spread.deviation, spread.idle, movement.removed, movement.needless, movement.returned, lookup,
-                build / 1000, scheme.memoryBytes(), scheme.needsHistory() ? "yes" : "no");
-    if (sink == 0) {
+                spread.maximum, spread.standardDeviation, spread.idleHosts, movement.removed, movement.needless,
+                movement.returned, lookupNanoseconds, buildNanoseconds / 1000, scheme.memoryBytes(),
+                scheme.needsHistory() ? "yes" : "no");
+    if (totalLength == 0) {
         std::printf("unreachable\n");
     }
 }
