--- a/src/runtime/group/switchoverdesk.cpp
+++ b/src/runtime/group/switchoverservice.cpp
@@ -1,6 +1,6 @@
 // Routes planned changes of the primary to the primary's home.
 
-#include "runtime/group/switchoverdesk.h"
+#include "runtime/group/switchoverservice.h"
 #include "runtime/host/timer.h"
 
 #include <boost/asio/post.hpp>
@@ -49,7 +49,7 @@
 
 } // namespace
 
-struct SwitchoverDesk::Job {
+struct SwitchoverService::Job {
     explicit Job(boost::asio::io_context &control) : timer(control)
     {
     }
@@ -64,12 +64,12 @@
     Timer timer;
 };
 
-SwitchoverDesk::SwitchoverDesk(boost::asio::io_context &control, HomeService &homes, SwitchoverDeskHooks hooks)
+SwitchoverService::SwitchoverService(boost::asio::io_context &control, HomeService &homes, SwitchoverServiceHooks hooks)
     : m_control(control), m_homes(homes), m_hooks(std::move(hooks))
 {
 }
 
-void SwitchoverDesk::onOperator(const std::string &body, const OperatorResponder &respond)
+void SwitchoverService::onOperator(const std::string &body, const OperatorResponder &respond)
 {
     const auto document = nlohmann::json::parse(body, nullptr, false);
     const bool named = document.is_object() && document.contains("database") && document["database"].is_string();
@@ -90,7 +90,7 @@
     });
 }
 
-void SwitchoverDesk::changePrimary(const std::string &database, const std::string &to, DoneHandler handler)
+void SwitchoverService::changePrimary(const std::string &database, const std::string &to, DoneHandler handler)
 {
     std::string successor = to;
     if (successor.empty()) {
@@ -106,7 +106,7 @@
     m_homes.switchover(database, successor, std::move(handler));
 }
 
-void SwitchoverDesk::finish(const std::shared_ptr<Job> &job, const tl::expected<void, Error> &result)
+void SwitchoverService::finish(const std::shared_ptr<Job> &job, const tl::expected<void, Error> &result)
 {
     job->timer.cancel();
     if (result) {
@@ -122,7 +122,7 @@
     tryNext(job);
 }
 
-void SwitchoverDesk::tryNext(const std::shared_ptr<Job> &job)
+void SwitchoverService::tryNext(const std::shared_ptr<Job> &job)
 {
     if (job->hosts.empty()) {
         job->respond(failureResponse(job->lastError));
@@ -133,7 +133,7 @@
     ask(job, host);
 }
 
-void SwitchoverDesk::ask(const std::shared_ptr<Job> &job, const std::string &host)
+void SwitchoverService::ask(const std::shared_ptr<Job> &job, const std::string &host)
 {
     const std::uint64_t id = m_nextId++;
     m_asked[id] = job;
@@ -149,7 +149,7 @@
     });
 }
 
-void SwitchoverDesk::onRequest(const hop::SwitchoverRequest &request, std::function<void(hop::SwitchoverReply)> reply)
+void SwitchoverService::onRequest(const hop::SwitchoverRequest &request, std::function<void(hop::SwitchoverReply)> reply)
 {
     // An empty `to` leaves the choice of the successor to this host.
     changePrimary(request.database, request.to,
@@ -163,7 +163,7 @@
                   });
 }
 
-void SwitchoverDesk::onReply(const hop::SwitchoverReply &reply)
+void SwitchoverService::onReply(const hop::SwitchoverReply &reply)
 {
     const auto found = m_asked.find(reply.id);
     if (found == m_asked.end()) {
--- a/src/runtime/group/switchoverdesk.h
+++ b/src/runtime/group/switchoverservice.h
@@ -19,19 +19,19 @@
 namespace egrettide
 {
 
-struct SwitchoverDeskHooks {
+struct SwitchoverServiceHooks {
     std::function<void(const std::string &host, hop::HopMessage)> send;
     // The other hosts that are homes of the database's upstreams.
     std::function<std::vector<std::string>(const std::string &database)> otherHomes;
 };
 
 // Used from the control thread only.
-class SwitchoverDesk
+class SwitchoverService
 {
 public:
-    SwitchoverDesk(boost::asio::io_context &control, HomeService &homes, SwitchoverDeskHooks hooks);
-    SwitchoverDesk(const SwitchoverDesk &) = delete;
-    SwitchoverDesk &operator=(const SwitchoverDesk &) = delete;
+    SwitchoverService(boost::asio::io_context &control, HomeService &homes, SwitchoverServiceHooks hooks);
+    SwitchoverService(const SwitchoverService &) = delete;
+    SwitchoverService &operator=(const SwitchoverService &) = delete;
 
     // Handles POST /switchover with {"database", "to"}; responds when the change has ended.
     void onOperator(const std::string &body, const OperatorResponder &respond);
@@ -50,7 +50,7 @@
 
     boost::asio::io_context &m_control;
     HomeService &m_homes;
-    SwitchoverDeskHooks m_hooks;
+    SwitchoverServiceHooks m_hooks;
     std::map<std::uint64_t, std::shared_ptr<Job>> m_asked;
     std::uint64_t m_nextId = 1;
 };
--- a/src/runtime/host/hostdaemon.cpp
+++ b/src/runtime/host/hostdaemon.cpp
@@ -177,10 +177,10 @@
     settings.home.firstTransaction = (m_random() >> 2U) | 1U;
     m_mechanisms.applyTo(settings);
     m_homes = std::make_unique<HomeService>(m_control, trafficContexts(), settings, std::move(hooks));
-    m_switchovers = std::make_unique<SwitchoverDesk>(
+    m_switchovers = std::make_unique<SwitchoverService>(
         m_control, *m_homes,
-        SwitchoverDeskHooks{[this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); },
-                            [this](const std::string &database) { return otherHomes(database); }});
+        SwitchoverServiceHooks{[this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); },
+                               [this](const std::string &database) { return otherHomes(database); }});
 }
 
 void HostDaemon::Impl::makeFront()
--- a/src/runtime/host/hostdaemonimpl.h
+++ b/src/runtime/host/hostdaemonimpl.h
@@ -18,7 +18,7 @@
 #include "runtime/fleet/peernetwork.h"
 #include "runtime/fleet/quotaservice.h"
 #include "runtime/group/groupcoordination.h"
-#include "runtime/group/switchoverdesk.h"
+#include "runtime/group/switchoverservice.h"
 #include "runtime/host/address.h"
 #include "runtime/host/log.h"
 #include "runtime/host/timer.h"
@@ -184,7 +184,7 @@
     std::unique_ptr<ConfigurationSource> m_configurationSource;
     std::unique_ptr<GroupCoordination> m_coordination;
     std::unique_ptr<HomeService> m_homes;
-    std::unique_ptr<SwitchoverDesk> m_switchovers;
+    std::unique_ptr<SwitchoverService> m_switchovers;
     std::unique_ptr<Front> m_front;
     std::unique_ptr<OperatorServer> m_operators;
     // Null when there is no separate readiness listener.
