--- a/include/egrettide/core/connectionbudget.h
+++ b/include/egrettide/core/connectionbudget.h
@@ -114,7 +114,7 @@
     // The previous home has reported that it holds no connections. Call this only for
     // the previous home in this host's own view, and only for a message delivered within
     // two confirmationBounds.
-    void handedBack(const HandBack &handBack, TimePoint now);
+    void onHandedBack(const HandBack &handBack, TimePoint now);
     // A majority of the zone's known hosts, this one included, sees this host as home.
     // The confirmation holds from `askedAt`, when they were asked, not from their answers.
     void confirmed(TimePoint askedAt);
--- a/src/core/upstreams/connectionbudget.cpp
+++ b/src/core/upstreams/connectionbudget.cpp
@@ -85,7 +85,7 @@
     m_shedAllBy = now + m_options.shedBound;
 }
 
-void ConnectionBudget::handedBack(const HandBack &handBack, TimePoint now)
+void ConnectionBudget::onHandedBack(const HandBack &handBack, TimePoint now)
 {
     // A predecessor that was not settled can't vouch for the connections of its own
     // predecessor. Trusting it would allow the connections of three homes at once after
--- a/src/runtime/host/hostdaemon.cpp
+++ b/src/runtime/host/hostdaemon.cpp
@@ -142,7 +142,7 @@
         announceToOthers(database, term, primary);
         applyPrimary(database, term, primary);
     };
-    hooks.handedBack = [this](const std::string &database, const std::string &upstream, const HandBack &handBack) {
+    hooks.sendHandBack = [this](const std::string &database, const std::string &upstream, const HandBack &handBack) {
         const std::string successor = homeOf(database, upstream);
         if (!successor.empty()) {
             send(successor, hop::Release{upstream, database, handBack.settled});
--- a/src/runtime/host/hostrouting.cpp
+++ b/src/runtime/host/hostrouting.cpp
@@ -194,7 +194,7 @@
     } else if (const auto *request = std::get_if<hop::SwitchoverRequest>(&message)) {
         m_switchovers->onRequest(*request, [this, from](hop::SwitchoverReply reply) { sendOn(from, std::move(reply)); });
     } else if (const auto *release = std::get_if<hop::Release>(&message)) {
-        m_homes->handedBack(release->database, release->upstream, HandBack{release->settled});
+        m_homes->onHandedBack(release->database, release->upstream, HandBack{release->settled});
     } else if (const auto *reply = std::get_if<hop::SwitchoverReply>(&message)) {
         m_switchovers->onReply(*reply);
     }
--- a/src/runtime/upstreams/homeservice.cpp
+++ b/src/runtime/upstreams/homeservice.cpp
@@ -82,7 +82,7 @@
     void onAnnounce(const std::string &database, Term term, const std::string &primary);
     void switchover(const std::string &database, const std::string &to, GroupObserver::DoneHandler handler);
     void onHomeConfirmed(const HomeKey &key, TimePoint askedAt);
-    void handedBack(const HomeKey &key, const HandBack &handBack);
+    void onHandedBack(const HomeKey &key, const HandBack &handBack);
     std::shared_ptr<const GroupSnapshot> snapshot(const std::string &database) const;
     void stats(std::function<void(std::vector<UpstreamHomeStats>)> handler) const;
     void drain(std::function<void()> drained);
@@ -277,9 +277,9 @@
     };
     hooks.answered = [observer](const StatementProof &proof) { observer->onStatementAnswer(proof); };
     hooks.requestRounds = [observer](TimePoint until) { observer->requestRounds(until); };
-    hooks.handedBack = [key, handedBack = m_hooks.handedBack](const HandBack &handBack) {
-        if (handedBack) {
-            handedBack(key.database, key.upstream, handBack);
+    hooks.sendHandBack = [key, sendHandBack = m_hooks.sendHandBack](const HandBack &handBack) {
+        if (sendHandBack) {
+            sendHandBack(key.database, key.upstream, handBack);
         }
     };
     return hooks;
@@ -396,10 +396,10 @@
     }
 }
 
-void HomeService::Impl::handedBack(const HomeKey &key, const HandBack &handBack)
+void HomeService::Impl::onHandedBack(const HomeKey &key, const HandBack &handBack)
 {
     if (const auto entry = homeOf(key)) {
-        onHome(*entry, [handBack](UpstreamHome &home) { home.handedBack(handBack); });
+        onHome(*entry, [handBack](UpstreamHome &home) { home.onHandedBack(handBack); });
     }
 }
 
@@ -547,9 +547,9 @@
     m_impl->onHomeConfirmed(HomeKey{database, upstream}, askedAt);
 }
 
-void HomeService::handedBack(const std::string &database, const std::string &upstream, const HandBack &handBack)
+void HomeService::onHandedBack(const std::string &database, const std::string &upstream, const HandBack &handBack)
 {
-    m_impl->handedBack(HomeKey{database, upstream}, handBack);
+    m_impl->onHandedBack(HomeKey{database, upstream}, handBack);
 }
 
 std::shared_ptr<const GroupSnapshot> HomeService::snapshot(const std::string &database) const
--- a/src/runtime/upstreams/homeservice.h
+++ b/src/runtime/upstreams/homeservice.h
@@ -36,9 +36,9 @@
     // For every observer. The service replaces `pauseWrites`, `resumeWrites` and
     // `clockGap`; it calls `published` in addition to its own handler.
     GroupObserverHooks observer;
-    // A drained home holds no data connection any more; to be sent to the successor.
-    // Called on a traffic thread.
-    std::function<void(const std::string &database, const std::string &upstream, const HandBack &handBack)> handedBack;
+    // Tells the successor that a drained home holds no data connection any more. Called
+    // on a traffic thread.
+    std::function<void(const std::string &database, const std::string &upstream, const HandBack &handBack)> sendHandBack;
 };
 
 // Calls may come from any thread; update, drain and stop must not run concurrently.
@@ -76,7 +76,7 @@
 
     // Reports of other hosts about where a home is placed; see ConnectionBudget.
     void onHomeConfirmed(const std::string &database, const std::string &upstream, TimePoint askedAt);
-    void handedBack(const std::string &database, const std::string &upstream, const HandBack &handBack);
+    void onHandedBack(const std::string &database, const std::string &upstream, const HandBack &handBack);
 
     // The newest snapshot of a group that this host observes, or null.
     std::shared_ptr<const GroupSnapshot> snapshot(const std::string &database) const;
--- a/src/runtime/upstreams/upstreamhome.h
+++ b/src/runtime/upstreams/upstreamhome.h
@@ -78,9 +78,9 @@
     std::function<void(const StatementProof &proof)> answered;
     // A request waits for a newer snapshot until then: asks for frequent rounds.
     std::function<void(TimePoint until)> requestRounds;
-    // A drained home holds no data connection any more: its successor may use all
-    // connections.
-    std::function<void(const HandBack &handBack)> handedBack;
+    // Tells the successor that this drained home holds no data connection any more: the
+    // successor may use all connections.
+    std::function<void(const HandBack &handBack)> sendHandBack;
 };
 
 // Counters since the start, and the resources in use now.
@@ -141,7 +141,7 @@
 
     // Reports of other hosts about where the home is placed; see ConnectionBudget.
     void onHomeConfirmed(TimePoint askedAt);
-    void handedBack(const HandBack &handBack);
+    void onHandedBack(const HandBack &handBack);
     void onClockGap();
 
     UpstreamHomeStats stats() const;
--- a/src/runtime/upstreams/upstreamhomeupkeep.cpp
+++ b/src/runtime/upstreams/upstreamhomeupkeep.cpp
@@ -264,8 +264,8 @@
     if (m_pool.size() > 0) {
         return;
     }
-    if (m_hooks.handedBack) {
-        m_hooks.handedBack(m_pool.budget().handBack(Clock::now()));
+    if (m_hooks.sendHandBack) {
+        m_hooks.sendHandBack(m_pool.budget().handBack(Clock::now()));
     }
     std::exchange(m_drained, nullptr)();
 }
@@ -302,9 +302,9 @@
     makeProgress();
 }
 
-void UpstreamHome::handedBack(const HandBack &handBack)
+void UpstreamHome::onHandedBack(const HandBack &handBack)
 {
-    m_pool.budget().handedBack(handBack, Clock::now());
+    m_pool.budget().onHandedBack(handBack, Clock::now());
     makeProgress();
 }
 
--- a/tests/core/connectionbudget_test.cpp
+++ b/tests/core/connectionbudget_test.cpp
@@ -198,7 +198,7 @@
         const HandBack message = host.budget.handBack(m_now);
         Host &successor = m_hosts[host.viewedHome];
         if (!successor.isSuspended && successor.viewedHome == host.viewedHome && successor.previousHome == index) {
-            successor.budget.handedBack(message, m_now);
+            successor.budget.onHandedBack(message, m_now);
         }
     }
 
@@ -249,7 +249,7 @@
     budget.becomeHome(start);
     budget.confirmed(start);
     BOOST_TEST(budget.allowance(start) == 6);
-    budget.handedBack({true}, start + 1s);
+    budget.onHandedBack({true}, start + 1s);
     BOOST_TEST(budget.allowance(start + 1s) == 12);
     budget.resign(start + 1s);
     BOOST_TEST(budget.allowance(start + 1s) == 0);
@@ -276,7 +276,7 @@
     ConnectionBudget budget(thirtyConnections());
     budget.becomeHome(start);
     budget.confirmed(start);
-    budget.handedBack({false}, start + 1s);
+    budget.onHandedBack({false}, start + 1s);
     BOOST_TEST(budget.allowance(start + 1s) == 6);
 }
 
