--- a/src/runtime/configuration/configurationkeeper.cpp
+++ b/src/runtime/configuration/configurationkeeper.cpp
@@ -21,8 +21,10 @@
 constexpr milliseconds pauseAfterFailure{500};
 // How often a host that is not the store reader of its zone checks whether it has become so.
 constexpr milliseconds readerCheckInterval{500};
-constexpr milliseconds pullPatience{1000};
-constexpr milliseconds loneHostPatience{2000};
+// Minimum time between two requests to peers for a newer configuration while none arrives.
+constexpr milliseconds pullSpacing{1000};
+// How long a new host waits for a peer that may report a newer version than the store.
+constexpr milliseconds peerWait{2000};
 // Each host sends a new version to this many others: 510 hosts are reached in three rounds, and
 // no host sends the file more than a few times.
 constexpr std::size_t offersPerHost = 8;
@@ -36,7 +38,7 @@
 
 void ConfigurationKeeper::start()
 {
-    m_trustedFrom = Clock::now() + loneHostPatience;
+    m_trustedFrom = Clock::now() + peerWait;
     fetch();
 }
 
@@ -86,8 +88,8 @@
 void ConfigurationKeeper::watch()
 {
     // Short until a configuration is in force: the timer that checks again runs between watches.
-    const milliseconds patience = m_inForce || m_state.version() == 0 ? watchTimeout : pauseAfterFailure;
-    m_store.watch(std::string(ConfigurationKey), std::max(m_state.version(), m_seenInStore), Clock::now() + patience,
+    const milliseconds timeout = m_inForce || m_state.version() == 0 ? watchTimeout : pauseAfterFailure;
+    m_store.watch(std::string(ConfigurationKey), std::max(m_state.version(), m_seenInStore), Clock::now() + timeout,
                   [this](const tl::expected<VersionedObject, StoreError> &answer) {
                       if (m_stopped) {
                           return;
@@ -148,7 +150,7 @@
 
 bool ConfigurationKeeper::mayPutInForce() const
 {
-    const bool isNewest = m_peerHeard && !m_state.isBehind();
+    const bool isNewest = m_peerReported && !m_state.isBehind();
     return m_state.version() != 0 && (isNewest || Clock::now() >= m_trustedFrom);
 }
 
@@ -162,13 +164,13 @@
 void ConfigurationKeeper::noteKnownVersion(const std::string &host, const CatalogVersion &version)
 {
     m_state.noteKnownVersion(version.intent);
-    m_peerHeard = true;
+    m_peerReported = true;
     putInForce();
     const TimePoint now = Clock::now();
     if (version.intent <= m_state.version() || now < m_pullBefore) {
         return;
     }
-    m_pullBefore = now + pullPatience;
+    m_pullBefore = now + pullSpacing;
     m_hooks.send(host, hop::ConfigPull{m_state.version()});
 }
 
--- a/src/runtime/configuration/configurationkeeper.h
+++ b/src/runtime/configuration/configurationkeeper.h
@@ -57,7 +57,7 @@
     // When this host puts the configuration that it holds in force even though no peer has
     // reported the newest version: it may be the only host, or cut off from all others.
     TimePoint m_trustedFrom = TimePoint::max();
-    bool m_peerHeard = false;
+    bool m_peerReported = false;
     // False until this host has put a configuration in force.
     bool m_inForce = false;
     // The newest version seen in the store, including refused ones: a watch from the version in
