--- a/tests/runtime/frontandhomes_test.cpp
+++ b/tests/runtime/frontandhomes_test.cpp
@@ -42,7 +42,7 @@
     ~Deployment()
     {
         m_front->stop();
-        const TimePoint end = Clock::now() + patience;
+        const TimePoint end = Clock::now() + maxWait;
         while (m_front->openConnections() > 0 && Clock::now() < end) {
             std::this_thread::sleep_for(milliseconds{1});
         }
--- a/tests/runtime/groupobserver_test.cpp
+++ b/tests/runtime/groupobserver_test.cpp
@@ -231,7 +231,7 @@
 
 tl::expected<void, Error> ended(Change change)
 {
-    BOOST_REQUIRE_MESSAGE(change.wait_for(patience) == std::future_status::ready, "the planned change never ended");
+    BOOST_REQUIRE_MESSAGE(change.wait_for(maxWait) == std::future_status::ready, "the planned change never ended");
     return change.get();
 }
 
--- a/tests/runtime/home_test.cpp
+++ b/tests/runtime/home_test.cpp
@@ -261,7 +261,7 @@
     pg::appendMessage(request.batch, 'S', "");
     for (int i = 0; i < 3; ++i) {
         request.id += 100;
-        request.deadline = Clock::now() + patience;
+        request.deadline = Clock::now() + maxWait;
         const StatementReply reply = cluster.run(request);
         BOOST_REQUIRE_MESSAGE(!reply.error && sqlStateIn(reply).empty(), "run " << i << ": " << textOf(reply));
         BOOST_TEST(reply.bytes.front() == '2', "the answer starts with " << reply.bytes.front() << " instead of BindComplete");
@@ -328,7 +328,7 @@
     BOOST_TEST(!again.error.has_value(), textOf(again));
     BOOST_TEST(sqlStateIn(again).empty(), "the lost transaction still holds its row: " << sqlStateIn(again));
     inside.id += 1000;
-    inside.deadline = Clock::now() + patience;
+    inside.deadline = Clock::now() + maxWait;
     const StatementReply late = cluster.run(inside);
     BOOST_REQUIRE_MESSAGE(late.error.has_value(), "a statement ran in a transaction that was rolled back");
     BOOST_TEST((outcomeOf(late.error->kind) == Outcome::NotRun));
@@ -373,7 +373,7 @@
     };
     cluster.home("b").execute(cluster.request("b", StatementKind::Read, "SELECT 1"), "front", again);
     auto future = done.get_future();
-    BOOST_REQUIRE(future.wait_for(patience) == std::future_status::ready);
+    BOOST_REQUIRE(future.wait_for(maxWait) == std::future_status::ready);
     BOOST_TEST(future.get() == 200, "a read of the chain was refused");
 }
 
@@ -383,8 +383,8 @@
     options.slots = 1;
     options.serviceTime = milliseconds{500};
     Cluster cluster(options);
-    StatementRequest running = cluster.request("b", StatementKind::Read, "SELECT 1", patience);
-    StatementRequest queued = cluster.request("b", StatementKind::Read, "SELECT 2", patience);
+    StatementRequest running = cluster.request("b", StatementKind::Read, "SELECT 1", maxWait);
+    StatementRequest queued = cluster.request("b", StatementKind::Read, "SELECT 2", maxWait);
     auto first = cluster.send(running);
     auto second = cluster.send(queued);
     Cluster::awaitTrue([&] { return cluster.sentBy("b") > 0U; }, "the first read to be sent");
@@ -407,8 +407,8 @@
     ClusterOptions options;
     options.serviceTime = milliseconds{300};
     Cluster cluster(options);
-    auto write = cluster.send(cluster.request("a", StatementKind::Write, "CREATE TABLE x (id int)", patience));
-    auto read = cluster.send(cluster.request("a", StatementKind::Read, "SELECT 1", patience));
+    auto write = cluster.send(cluster.request("a", StatementKind::Write, "CREATE TABLE x (id int)", maxWait));
+    auto read = cluster.send(cluster.request("a", StatementKind::Read, "SELECT 1", maxWait));
     std::this_thread::sleep_for(milliseconds{100});
     cluster.upstream("a").kill();
     const StatementReply writeReply = Cluster::await(std::move(write));
@@ -444,7 +444,7 @@
                    "the drain interrupted a write: " << textOf(reply));
         acknowledged += reply.error ? 0 : 1;
     }
-    BOOST_REQUIRE(drained.get_future().wait_for(patience) == std::future_status::ready);
+    BOOST_REQUIRE(drained.get_future().wait_for(maxWait) == std::future_status::ready);
     BOOST_TEST(acknowledged > 0U);
     const StatementReply late = cluster.run("a", StatementKind::Write, insert(99));
     BOOST_REQUIRE(late.error.has_value());
--- a/tests/runtime/homecluster.h
+++ b/tests/runtime/homecluster.h
@@ -30,7 +30,7 @@
 namespace egrettide::testing
 {
 
-constexpr std::chrono::seconds patience{20};
+constexpr std::chrono::seconds maxWait{20};
 inline const std::string databaseName = "booking";
 inline const std::array<std::string, 3> upstreamNames{"a", "b", "c"};
 
@@ -253,7 +253,7 @@
 
     static void awaitTrue(const std::function<bool()> &condition, const std::string &what)
     {
-        const TimePoint end = Clock::now() + patience;
+        const TimePoint end = Clock::now() + maxWait;
         while (!condition()) {
             BOOST_REQUIRE_MESSAGE(Clock::now() < end, "waited too long for " << what << "; look at the observer's rounds");
             std::this_thread::sleep_for(milliseconds{2});
@@ -301,7 +301,7 @@
     // Throws instead of using Boost.Test, which must not be used on the threads of writers.
     static StatementReply await(std::future<StatementReply> future)
     {
-        if (future.wait_for(patience) != std::future_status::ready) {
+        if (future.wait_for(maxWait) != std::future_status::ready) {
             throw std::runtime_error("a request got no answer at all; every request must be answered by its deadline");
         }
         return future.get();
