--- a/tests/platform/host_test.cpp
+++ b/tests/platform/host_test.cpp
@@ -245,7 +245,7 @@
     BOOST_TEST(client.run("READ item").succeeded());
 }
 
-BOOST_AUTO_TEST_CASE(OfRefusalsAreNoneAndTrue)
+BOOST_AUTO_TEST_CASE(AreNotAssumedForRefusedWrites)
 {
     PlatformSite site;
     LineClient client(site.addresses[0]);
