--- a/tests/runtime/configurationkeeper_test.cpp
+++ b/tests/runtime/configurationkeeper_test.cpp
@@ -36,15 +36,15 @@
     struct Host {
         std::unique_ptr<ConfigurationKeeper> keeper;
         std::vector<std::uint64_t> accepted;
-        bool watcher = false;
+        bool isStoreReader = false;
         bool cutOff = false;
     };
     std::map<std::string, Host> hosts;
 
-    void add(const std::string &name, bool watcher)
+    void add(const std::string &name, bool isStoreReader)
     {
         Host &host = hosts[name];
-        host.watcher = watcher;
+        host.isStoreReader = isStoreReader;
         host.keeper = std::make_unique<ConfigurationKeeper>(
             control, store,
             ConfigurationKeeperHooks{
@@ -52,7 +52,7 @@
                     host.accepted.push_back(configuration->version);
                 },
                 [this, name](const std::string &to, hop::HopMessage message) { deliver(name, to, std::move(message)); },
-                [this, name](std::size_t) { return others(name); }, [&host] { return host.watcher; }});
+                [this, name](std::size_t) { return others(name); }, [&host] { return host.isStoreReader; }});
     }
 
     ~Fleet()
@@ -114,7 +114,7 @@
 
 BOOST_AUTO_TEST_SUITE(ConfigurationKeeperSuite)
 
-BOOST_FIXTURE_TEST_CASE(SpreadsFromOneWatcherToAllHosts, Fleet)
+BOOST_FIXTURE_TEST_CASE(SpreadsFromTheZonesReaderToAllHosts, Fleet)
 {
     for (const char *name : {"a", "b", "c", "d"}) {
         add(name, std::string(name) == "a");
