--- a/src/core/fleet/membershipstate.h
+++ b/src/core/fleet/membershipstate.h
@@ -1,5 +1,5 @@
 // Implementation of Membership, shared by membership.cpp (events and view), membershipprobing.cpp
-// (schedule and failure detection) and membershipnews.cpp (messages).
+// (schedule and failure detection) and membershipmessages.cpp (messages).
 
 #pragma once
 
