--- a/src/runtime/fleet/quotaservice.cpp
+++ b/src/runtime/fleet/quotaservice.cpp
@@ -54,10 +54,10 @@
     m_keeper.configure(configuration);
 }
 
-void QuotaService::setKeptSlots(const std::bitset<quotaSlots> &slots, double part)
+void QuotaService::setKeptSlots(const std::bitset<quotaSlots> &slots, double visibleFraction)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_keeper.setKeptSlots(slots, part, Clock::now());
+    m_keeper.setKeptSlots(slots, visibleFraction, Clock::now());
 }
 
 void QuotaService::admit(const std::string &workspace, TimePoint until, AdmitHandler handler)
--- a/src/runtime/fleet/quotaservice.h
+++ b/src/runtime/fleet/quotaservice.h
@@ -45,7 +45,7 @@
 
     void configure(const Configuration &configuration);
     // Sets the slots that this host keeps; see QuotaKeeper::setKeptSlots().
-    void setKeptSlots(const std::bitset<quotaSlots> &slots, double part);
+    void setKeptSlots(const std::bitset<quotaSlots> &slots, double visibleFraction);
 
     // Counts one request. `handler` is called once: from within this call when the answer is
     // known locally, otherwise later, at the latest shortly after `until`.
