--- a/tests/runtime/frontandhomes_test.cpp
+++ b/tests/runtime/frontandhomes_test.cpp
@@ -26,8 +26,8 @@
         FrontHooks hooks;
         hooks.configuration = [this] { return cluster.currentConfiguration(); };
         hooks.execute = [this](StatementRequest request, ReplyHandler handler) {
-            HomeService &home = cluster.home(request.upstream);
-            home.execute(std::move(request), "front", std::move(handler));
+            HomeService &service = cluster.home(request.upstream);
+            service.execute(std::move(request), "front", std::move(handler));
         };
         hooks.observe = [this](const RequestObservation &observation) {
             const std::lock_guard<std::mutex> lock(m_mutex);
