--- a/src/runtime/host/hostdaemon.cpp
+++ b/src/runtime/host/hostdaemon.cpp
@@ -142,7 +142,7 @@
         announceToOthers(database, term, primary);
         applyPrimary(database, term, primary);
     };
-    hooks.handedBack = [this](const std::string &database, const std::string &upstream, const HandBack &handBack) {
+    hooks.sendHandBack = [this](const std::string &database, const std::string &upstream, const HandBack &handBack) {
         const std::string successor = homeOf(database, upstream);
         if (!successor.empty()) {
             send(successor, hop::Release{upstream, database, handBack.settled});
@@ -177,10 +177,10 @@
     settings.home.firstTransaction = (m_random() >> 2U) | 1U;
     m_mechanisms.applyTo(settings);
     m_homes = std::make_unique<HomeService>(m_control, trafficContexts(), settings, std::move(hooks));
-    m_switchovers = std::make_unique<SwitchoverDesk>(
+    m_switchovers = std::make_unique<SwitchoverService>(
         m_control, *m_homes,
-        SwitchoverDeskHooks{[this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); },
-                            [this](const std::string &database) { return otherHomes(database); }});
+        SwitchoverServiceHooks{[this](const std::string &host, hop::HopMessage message) { send(host, std::move(message)); },
+                               [this](const std::string &database) { return otherHomes(database); }});
 }
 
 void HostDaemon::Impl::makeFront()
