--- a/bench/hop_cost.cpp
+++ b/bench/hop_cost.cpp
@@ -1,5 +1,5 @@
-// What the codec of one hop costs: sizes and processor time of a typical request
-// and answer, encoded and decoded once each. Run: build/release/hop-cost
+// Measures the hop codec: the frame size of a typical request and of a typical reply, and the time
+// to encode and decode each of them. Build the preset "release" and run hop-cost.
 
 #include "wire/hopcodec.h"
 
@@ -42,25 +42,25 @@
     return hop::ExecuteReply{reply};
 }
 
-void report(const char *name, const hop::HopMessage &message)
+void measure(const char *name, const hop::HopMessage &message)
 {
-    constexpr int times = 300000;
+    constexpr int iterations = 300000;
     std::size_t frameBytes = 0;
     const TimePoint begin = Clock::now();
-    for (int i = 0; i < times; ++i) {
+    for (int i = 0; i < iterations; ++i) {
         const std::string frame = hop::encodeFrame(message, begin);
         const auto decoded = hop::decodeFrame(std::string_view(frame).substr(hop::frameHeaderBytes), begin);
         frameBytes = decoded ? frame.size() : 0;
     }
-    const std::chrono::duration<double, std::micro> taken = Clock::now() - begin;
-    std::printf("%-8s %5zu bytes a frame, %.2f us to encode and decode\n", name, frameBytes, taken.count() / times);
+    const std::chrono::duration<double, std::micro> elapsed = Clock::now() - begin;
+    std::printf("%-8s %5zu bytes per frame, %.2f us to encode and decode\n", name, frameBytes, elapsed.count() / iterations);
 }
 
 } // namespace
 
 int main()
 {
-    report("request", typicalRequest());
-    report("reply", typicalReply());
+    measure("request", typicalRequest());
+    measure("reply", typicalReply());
     return 0;
 }
