--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,8 +1,9 @@
-"""Measures what one entry host costs per caller, per statement, per database and
-per configuration change, at several sizes each, and fits slopes. Prints JSON;
-docs/CAPACITY.md multiplies the slopes up to the target size.
+"""Measures the memory and processor time that an entry host needs per idle caller,
+database, statement, configuration change and other host, at several sizes each, and
+fits a line to each. Prints one JSON object per measurement; docs/CAPACITY.md
+extrapolates the slopes to the target size.
 
-  python3 scripts/capacity.py build/release
+  python3 scripts/capacity.py build/release [MEASUREMENT]...
 """
 
 import json
@@ -15,8 +16,8 @@
 import lab
 
 SETTLE_S = 1.5
-WINDOW_S = 4.0
-TICKS = os.sysconf("SC_CLK_TCK")
+MEASUREMENT_S = 4.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def rss_kib(pid):
@@ -27,10 +28,10 @@
 def cpu_seconds(pid):
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def control_cpu(host):
+def control_cpu_seconds(host):
     for line in host.metrics().splitlines():
         if line.startswith("egrettide_control_cpu_seconds"):
             return float(line.split()[-1])
@@ -38,34 +39,35 @@
 
 
 def fit(points):
-    """Least squares: (slope, intercept, largest residual)."""
+    """Fits a line to (x, y) points by least squares."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    sum_of_squares = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_of_squares
     intercept = mean_y - slope * mean_x
     residual = max(abs(y - slope * x - intercept) for x, y in points)
     return {"points": points, "slope": slope, "intercept": intercept, "largest_residual": residual}
 
 
-def open_caller(address):
-    """A session that has started and stays idle."""
+def open_session(address):
+    """Opens a session, waits until it is ready and returns its connection, which stays idle."""
     ip, port = address.rsplit(":", 1)
     caller = socket.create_connection((ip, int(port)), timeout=10)
     body = struct.pack("!I", 196608) + b"user\0parent\0database\0booking1\0\0"
     caller.sendall(struct.pack("!I", len(body) + 4) + body)
     received = b""
     while b"Z\x00\x00\x00\x05I" not in received:
-        part = caller.recv(4096)
-        if not part:
-            raise RuntimeError("the host refused a caller")
-        received += part
+        chunk = caller.recv(4096)
+        if not chunk:
+            raise RuntimeError("the host closed the connection of a new caller")
+        received += chunk
     return caller
 
 
-def one_host_site(binaries, databases, **host_settings):
-    site = lab.Lab(binaries)
+def start_one_host(binaries, databases, **host_settings):
+    """Starts a deployment of one host and the given number of databases; returns it and the databases' entries."""
+    site = lab.Deployment(binaries)
     site.host_settings = host_settings
     site.start_platform()
     groups = [site.start_group(f"booking{n}", ["a", "b", "c"], 5, 30, []) for n in range(1, databases + 1)]
@@ -77,18 +79,18 @@
 
 def idle_callers(binaries):
     points_rss, points_cpu = [], []
-    site, _ = one_host_site(binaries, 1)
+    site, _ = start_one_host(binaries, 1)
     with site:
         host = site.hosts["host-a"]
-        pid = host.process.process.pid
+        pid = host.process.child.pid
         callers = []
         for count in (0, 500, 1000, 2000, 4000):
             while len(callers) < count:
-                callers.append(open_caller(host.caller))
+                callers.append(open_session(host.caller_address))
             time.sleep(SETTLE_S)
             before = cpu_seconds(pid)
-            time.sleep(WINDOW_S)
-            points_cpu.append((count, (cpu_seconds(pid) - before) / WINDOW_S))
+            time.sleep(MEASUREMENT_S)
+            points_cpu.append((count, (cpu_seconds(pid) - before) / MEASUREMENT_S))
             points_rss.append((count, rss_kib(pid)))
         for caller in callers:
             caller.close()
@@ -98,14 +100,14 @@
 def databases(binaries, **host_settings):
     points_rss, points_cpu = [], []
     for count in (1, 4, 8, 16):
-        site, _ = one_host_site(binaries, count, **host_settings)
+        site, _ = start_one_host(binaries, count, **host_settings)
         with site:
             host = site.hosts["host-a"]
-            pid = host.process.process.pid
+            pid = host.process.child.pid
             time.sleep(SETTLE_S)
-            before, begin = control_cpu(host), time.monotonic()
-            time.sleep(WINDOW_S)
-            points_cpu.append((count, (control_cpu(host) - before) / (time.monotonic() - begin)))
+            before, begin = control_cpu_seconds(host), time.monotonic()
+            time.sleep(MEASUREMENT_S)
+            points_cpu.append((count, (control_cpu_seconds(host) - before) / (time.monotonic() - begin)))
             points_rss.append((count, rss_kib(pid)))
     return {"rss_kib": fit(points_rss), "control_cpu_cores": fit(points_cpu)}
 
@@ -116,32 +118,32 @@
 
 def statements(binaries):
     points_cpu = []
-    site, _ = one_host_site(binaries, 1)
+    site, _ = start_one_host(binaries, 1)
     with site:
-        pid = site.hosts["host-a"].process.process.pid
+        pid = site.hosts["host-a"].process.child.pid
         for number, rate in enumerate((100, 200, 400, 800)):
             database = site.upstreams["booking1-1"]["name"].rsplit("-", 1)[0]
             before = cpu_seconds(pid)
             callers = 20
-            load = site.bench(database=database, seconds=WINDOW_S, desks=0, parents=callers, parent_rate=rate / callers,
-                              seed=number + 1)
-            result = site.result(load, 120)
-            points_cpu.append((result["attempts"] / WINDOW_S, (cpu_seconds(pid) - before) / WINDOW_S))
-            site.fresh_tables(database)
+            load = site.start_load(database=database, seconds=MEASUREMENT_S, desks=0, parents=callers,
+                                   parent_rate=rate / callers, seed=number + 1)
+            result = site.load_result(load, 120)
+            points_cpu.append((result["attempts"] / MEASUREMENT_S, (cpu_seconds(pid) - before) / MEASUREMENT_S))
+            site.clear_tables(database)
     return {"cpu_cores_by_statements_per_second": fit(points_cpu)}
 
 
 def configuration_changes(binaries):
     points = []
-    site, groups = one_host_site(binaries, 1)
+    site, groups = start_one_host(binaries, 1)
     with site:
         host = site.hosts["host-a"]
         for count in (0, 10, 20, 40):
-            before = control_cpu(host)
+            before = control_cpu_seconds(host)
             for change in range(count):
                 groups[0]["replicaWaitMs"] = 10 + (change % 7) + count
                 site.apply(lab.configuration(groups))
-            points.append((count, control_cpu(host) - before))
+            points.append((count, control_cpu_seconds(host) - before))
     return {"control_cpu_seconds_by_changes": fit(points)}
 
 
@@ -151,10 +153,10 @@
 
 
 def hosts(binaries):
-    """What membership costs each host: the mean of all hosts, at several numbers of them."""
+    """Measures the cost of membership per host, as the mean over all hosts, for several numbers of hosts."""
     points_bytes, points_cpu, points_rss = [], [], []
     for count in (2, 4, 8, 16, 32):
-        with lab.Lab(binaries) as site:
+        with lab.Deployment(binaries) as site:
             site.start_platform()
             group = site.start_group("booking1", ["a", "b", "c"], 5, 30, [])
             for number in range(count):
@@ -162,15 +164,15 @@
             site.announce_hosts()
             site.apply(lab.configuration([group]))
             time.sleep(SETTLE_S + 2)
-            everyone = list(site.hosts.values())
-            before = [(control_bytes(host), control_cpu(host)) for host in everyone]
+            all_hosts = list(site.hosts.values())
+            before = [(control_bytes(host), control_cpu_seconds(host)) for host in all_hosts]
             begin = time.monotonic()
-            time.sleep(WINDOW_S)
-            after = [(control_bytes(host), control_cpu(host)) for host in everyone]
-            scale = 1 / (time.monotonic() - begin) / count
-            points_bytes.append((count, sum(a[0] - b[0] for a, b in zip(after, before)) * scale))
-            points_cpu.append((count, sum(a[1] - b[1] for a, b in zip(after, before)) * scale))
-            points_rss.append((count, sum(rss_kib(host.process.process.pid) for host in everyone) / count))
+            time.sleep(MEASUREMENT_S)
+            after = [(control_bytes(host), control_cpu_seconds(host)) for host in all_hosts]
+            per_second_and_host = 1 / (time.monotonic() - begin) / count
+            points_bytes.append((count, sum(a[0] - b[0] for a, b in zip(after, before)) * per_second_and_host))
+            points_cpu.append((count, sum(a[1] - b[1] for a, b in zip(after, before)) * per_second_and_host))
+            points_rss.append((count, sum(rss_kib(host.process.child.pid) for host in all_hosts) / count))
     return {"control_bytes_per_second": fit(points_bytes), "control_cpu_cores": fit(points_cpu), "rss_kib": fit(points_rss)}
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,5 +1,5 @@
-"""The story of scripts/demo: three hosts, one database in three zones, a killed
-primary, a drained host, sessions that move all the time."""
+"""Runs the scenario of scripts/demo: three hosts and one database in three zones under
+load from sessions that move between hosts; the primary is killed, then a host is drained."""
 
 import signal
 import sys
@@ -7,49 +7,52 @@
 
 import lab
 
-SECONDS = 12
+LOAD_SECONDS = 12
 
 
-def say(text):
+def print_line(text):
     print(text, flush=True)
 
 
 def main():
-    with lab.Lab(sys.argv[1]) as site:
+    with lab.Deployment(sys.argv[1]) as site:
         site.start_platform()
         database = site.start_group("booking1", ["a", "b", "c"], 5, 30, ["--connection-delay-ms", "10", "--lag-ms", "20"])
         for zone in "abc":
             site.start_host(f"host-{zone}", zone)
         site.announce_hosts()
-        say("applied: " + site.apply(lab.configuration([database])).strip())
+        print_line("configuration applied: " + site.apply(lab.configuration([database])).strip())
         lab.wait_for("a confirmed primary", lambda: site.primary_of("booking1"))
-        say(f"primary: {site.primary_of('booking1')}")
+        print_line(f"primary: {site.primary_of('booking1')}")
 
-        load = site.bench(database="booking1", seconds=SECONDS, desks=4, parents=8, desk_rate=20, parent_rate=20, move_every=5)
-        time.sleep(SECONDS * 0.25)
+        load = site.start_load(database="booking1", seconds=LOAD_SECONDS, desks=4, parents=8, desk_rate=20,
+                               parent_rate=20, move_every=5)
+        time.sleep(LOAD_SECONDS * 0.25)
         victim = site.primary_of("booking1")
-        say(f"killing the primary {victim}")
+        print_line(f"killing the primary {victim}")
         site.processes[victim].signal(signal.SIGKILL)
-        time.sleep(SECONDS * 0.35)
-        say(f"primary now: {site.primary_of('booking1')}")
-        say("draining host-c")
-        reads = site.reads()
+        time.sleep(LOAD_SECONDS * 0.35)
+        print_line(f"primary now: {site.primary_of('booking1')}")
+        print_line("draining host-c")
+        reads = site.read_counts()
         site.processes["host-c"].signal(signal.SIGTERM)
-        result = site.result(load, SECONDS + 60)
+        result = site.load_result(load, LOAD_SECONDS + 60)
 
         drained = site.hosts["host-c"].process
-        lab.wait_for("host-c gone", lambda: not drained.alive(), 60)
+        lab.wait_for("exit of host-c", lambda: not drained.alive(), 60)
         status = site.ctl("status")
-        say(status.stdout.strip() + status.stderr.strip())
-        say(f"requests: {result['attempts']} sent, {result['done']} done; writes done {result['writes_done']}, not done {result['writes_not_done']}")
-        say(f"reads served by replicas: {100 * lab.replica_share(reads):.1f} % {dict(sorted((' '.join(k).strip(), v) for k, v in reads.items()))}")
-        say(f"failover gap: longest time without a write {result['longest_s_without_write']:.3f} s")
-        say(f"refusals: {result['refusals']}")
-        say(f"drained host ended with exit status {drained.process.returncode}")
-        say(f"invariant violations: {result['violation_count']}")
+        print_line(status.stdout.strip() + status.stderr.strip())
+        print_line(f"requests: {result['attempts']} sent, {result['done']} done; "
+                   f"writes done {result['writes_done']}, not done {result['writes_not_done']}")
+        print_line(f"reads served by replicas: {100 * lab.replica_share(reads):.1f} % "
+                   f"{dict(sorted((' '.join(k).strip(), v) for k, v in reads.items()))}")
+        print_line(f"failover gap: longest time without a completed write {result['longest_s_without_write']:.3f} s")
+        print_line(f"refusals: {result['refusals']}")
+        print_line(f"drained host exited with status {drained.child.returncode}")
+        print_line(f"invariant violations: {result['violation_count']}")
         for violation in result["violations"]:
-            say("  " + violation)
-        return 0 if result["violation_count"] == 0 and drained.process.returncode == 0 else 1
+            print_line("  " + violation)
+        return 0 if result["violation_count"] == 0 and drained.child.returncode == 0 else 1
 
 
 if __name__ == "__main__":
--- a/scripts/lab.py
+++ b/scripts/lab.py
@@ -1,6 +1,7 @@
 """Starts the stand-ins and entry hosts of a small deployment on loopback, injects
-faults into them, and stops everything again. Used by scripts/demo and
-scripts/bench; no product program starts another one."""
+faults into them, and stops all processes at the end. Used by scripts/demo,
+scripts/bench, scripts/capacity.py and the process tests; no program of the product
+starts another one."""
 
 import json
 import os
@@ -14,33 +15,33 @@
 import urllib.error
 import urllib.request
 
-STARTUP_BOUND_S = 30
-POLL_S = 0.05
+STARTUP_TIMEOUT_S = 30
+POLL_INTERVAL_S = 0.05
 
 
-def wait_for(what, condition, bound_s=STARTUP_BOUND_S):
-    """Polls until the condition gives something true; fails loudly at the bound."""
-    end = time.monotonic() + bound_s
+def wait_for(description, condition, timeout_s=STARTUP_TIMEOUT_S):
+    """Polls until the condition returns a true value, and returns it; raises RuntimeError after the timeout."""
+    end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         result = condition()
         if result:
             return result
-        time.sleep(POLL_S)
-    raise RuntimeError(f"{what} did not happen within {bound_s} s")
+        time.sleep(POLL_INTERVAL_S)
+    raise RuntimeError(f"{description} did not happen within {timeout_s} s")
 
 
 def http(method, address, path, body=None, timeout=5):
-    """One HTTP call; gives (status, text), or (0, reason) when nothing answered."""
+    """Sends one HTTP request and returns (status, text), or (0, error text) if there was no response."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(f"http://{address}{path}", data=data, method=method,
                                      headers={"Content-Type": "application/json"})
     try:
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            return answer.status, answer.read().decode()
-    except urllib.error.HTTPError as refusal:
-        return refusal.code, refusal.read().decode()
-    except (OSError, ValueError) as failure:
-        return 0, str(failure)
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            return response.status, response.read().decode()
+    except urllib.error.HTTPError as error:
+        return error.code, error.read().decode()
+    except (OSError, ValueError) as error:
+        return 0, str(error)
 
 
 def startup_message(user, database):
@@ -48,113 +49,115 @@
     return struct.pack("!I", len(body) + 4) + body
 
 
-def messages(connection):
-    """Yields (type, payload) of each PostgreSQL message that comes in."""
+def read_messages(connection):
+    """Yields (type, payload) of each PostgreSQL message received; raises RuntimeError when the connection is closed."""
     buffered = b""
     while True:
         while len(buffered) < 5 or len(buffered) < 1 + struct.unpack("!I", buffered[1:5])[0]:
-            part = connection.recv(65536)
-            if not part:
+            chunk = connection.recv(65536)
+            if not chunk:
                 raise RuntimeError("the connection was closed")
-            buffered += part
+            buffered += chunk
         end = 1 + struct.unpack("!I", buffered[1:5])[0]
         yield buffered[:1], buffered[5:end]
         buffered = buffered[end:]
 
 
 def row_values(payload):
-    count, at, values = struct.unpack("!H", payload[:2])[0], 2, []
+    count, offset, values = struct.unpack("!H", payload[:2])[0], 2, []
     for _ in range(count):
-        length = struct.unpack("!i", payload[at:at + 4])[0]
-        at += 4
-        values.append(None if length < 0 else payload[at:at + length].decode())
-        at += max(length, 0)
+        length = struct.unpack("!i", payload[offset:offset + 4])[0]
+        offset += 4
+        values.append(None if length < 0 else payload[offset:offset + length].decode())
+        offset += max(length, 0)
     return values
 
 
 def query(address, statement, user="bench", database="bench"):
-    """Runs one statement over the simple protocol and gives its rows as text."""
+    """Runs one statement over the simple query protocol and returns its rows, with values as text or None."""
     ip, port = address.rsplit(":", 1)
     with socket.create_connection((ip, int(port)), timeout=5) as connection:
         connection.sendall(startup_message(user, database))
-        incoming = messages(connection)
-        while next(incoming)[0] != b"Z":
+        messages = read_messages(connection)
+        while next(messages)[0] != b"Z":
             pass
         text = statement.encode() + b"\0"
         connection.sendall(b"Q" + struct.pack("!I", len(text) + 4) + text)
         rows = []
-        for kind, payload in incoming:
-            if kind == b"D":
+        for message_type, payload in messages:
+            if message_type == b"D":
                 rows.append(row_values(payload))
-            if kind == b"E":
+            if message_type == b"E":
                 raise RuntimeError(f"{statement} failed: {payload!r}")
-            if kind == b"Z":
+            if message_type == b"Z":
                 return rows
 
 
 class Process:
-    """A program with its output in files."""
+    """A child process whose standard output and standard error are redirected to files."""
 
-    def __init__(self, lab, name, arguments):
+    def __init__(self, deployment, name, arguments):
         self.name = name
-        self.out_path = os.path.join(lab.folder, name + ".out")
-        self.err_path = os.path.join(lab.folder, name + ".err")
+        self.out_path = os.path.join(deployment.folder, name + ".out")
+        self.err_path = os.path.join(deployment.folder, name + ".err")
         with open(self.out_path, "w") as out, open(self.err_path, "w") as err:
-            self.process = subprocess.Popen(arguments, stdout=out, stderr=err, stdin=subprocess.DEVNULL)
+            self.child = subprocess.Popen(arguments, stdout=out, stderr=err, stdin=subprocess.DEVNULL)
 
     def alive(self):
-        return self.process.poll() is None
+        return self.child.poll() is None
 
     def signal(self, number):
         if self.alive():
-            self.process.send_signal(number)
+            self.child.send_signal(number)
 
-    def find(self, path, pattern):
+    def search(self, path, pattern):
         with open(path) as file:
             found = re.search(pattern, file.read())
         if not found and not self.alive():
-            raise RuntimeError(f"{self.name} ended early: " + open(self.err_path).read()[-2000:])
+            raise RuntimeError(f"{self.name} ended before its output matched: " + open(self.err_path).read()[-2000:])
         return found
 
-    def listening(self):
-        found = wait_for(f"{self.name} listening", lambda: self.find(self.out_path, r'"listening":\s*(\d+)'))
+    def listening_address(self):
+        found = wait_for(f"{self.name} listening", lambda: self.search(self.out_path, r'"listening":\s*(\d+)'))
         return "127.0.0.1:" + found.group(1)
 
 
 class Host:
-    """One entry host."""
+    """One entry host: an egrettided process with its settings file and addresses."""
 
-    def __init__(self, lab, name, zone, policy):
-        self.lab, self.name, self.zone = lab, name, zone
+    def __init__(self, deployment, name, zone, policy):
+        self.deployment, self.name, self.zone = deployment, name, zone
         settings = {"host": name, "zone": zone, "callerAddress": "127.0.0.1:0", "peerAddress": "127.0.0.1:0",
-                    "operatorAddress": "127.0.0.1:0", "platformAddress": lab.platform, "logLevel": "info",
-                    "sessionKey": "a key for tests only", "routingPolicy": policy, **lab.host_settings}
-        path = os.path.join(lab.folder, name + ".json")
+                    "operatorAddress": "127.0.0.1:0", "platformAddress": deployment.platform_address, "logLevel": "info",
+                    "sessionKey": "a key for tests only", "routingPolicy": policy, **deployment.host_settings}
+        path = os.path.join(deployment.folder, name + ".json")
         with open(path, "w") as file:
             json.dump(settings, file)
-        self.process = Process(lab, name, [lab.program("egrettided"), "--settings", path])
-        found = wait_for(f"{name} started", lambda: self.process.find(
+        self.process = Process(deployment, name, [deployment.program_path("egrettided"), "--settings", path])
+        found = wait_for(f"{name} started", lambda: self.process.search(
             self.process.out_path,
             r'"event":"started".*?"caller_address":"([^"]+)","peer_address":"([^"]+)","operator_address":"([^"]+)"'))
-        self.caller, self.peer, self.operators = found.groups()
+        self.caller_address, self.peer_address, self.operator_address = found.groups()
 
     def ready(self):
-        return http("GET", self.operators, "/ready")[0] == 200
+        return http("GET", self.operator_address, "/ready")[0] == 200
 
     def metrics(self):
-        status, text = http("GET", self.operators, "/metrics")
+        status, text = http("GET", self.operator_address, "/metrics")
         return text if status == 200 else ""
 
 
-class Lab:
+class Deployment:
+    """The processes of one deployment. As a context manager it kills them all and deletes their files at the end."""
+
     def __init__(self, binaries):
         self.binaries = os.path.abspath(binaries)
         self.directory = tempfile.TemporaryDirectory(prefix="egrettide-lab-")
         self.folder = self.directory.name
         self.processes, self.hosts, self.upstreams = {}, {}, {}
-        # Further settings of the hosts started from now on.
+        # Additional settings of hosts that are started later.
         self.host_settings = {}
-        self.platform = None
+        self.platform_address = None
 
     def __enter__(self):
         return self
@@ -164,33 +167,35 @@
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
         for process in self.processes.values():
-            process.process.wait()
+            process.child.wait()
         self.directory.cleanup()
 
-    def program(self, name):
+    def program_path(self, name):
         return os.path.join(self.binaries, name)
 
-    def run(self, name, arguments):
+    def start_process(self, name, arguments):
         self.processes[name] = Process(self, name, arguments)
         return self.processes[name]
 
     def start_platform(self, *options):
-        self.platform = self.run("platform", [self.program("platform"), "--listen", "127.0.0.1:0", *options]).listening()
+        self.platform_address = self.start_process(
+            "platform", [self.program_path("platform"), "--listen", "127.0.0.1:0", *options]).listening_address()
 
-    def start_upstream(self, name, zone, slots, connections, extra):
-        arguments = [self.program("upstream"), "--listen", "127.0.0.1:0", "--name", name, "--zone", zone,
-                     "--slots", str(slots), "--connections", str(connections)] + extra
-        address = self.run(name, arguments).listening()
+    def start_upstream(self, name, zone, slots, connections, extra_options):
+        arguments = [self.program_path("upstream"), "--listen", "127.0.0.1:0", "--name", name, "--zone", zone,
+                     "--slots", str(slots), "--connections", str(connections)] + extra_options
+        address = self.start_process(name, arguments).listening_address()
         self.upstreams[name] = {"name": name, "address": address, "zone": zone, "slots": slots, "connections": connections}
         return address
 
-    def start_group(self, database, zones, slots, connections, extra, seed=0):
-        """One primary and its replicas, each in a zone of its own and with a seed of its own."""
+    def start_group(self, database, zones, slots, connections, extra_options, seed=0):
+        """Starts a primary and its replicas, one per entry of `zones` and each with a different seed.
+        Returns the database's entry for the configuration."""
         primary = self.start_upstream(f"{database}-1", zones[0], slots, connections,
-                                      extra + ["--primary-term", "1", "--seed", str(seed + 1)])
+                                      extra_options + ["--primary-term", "1", "--seed", str(seed + 1)])
         for number, zone in enumerate(zones[1:], start=2):
             self.start_upstream(f"{database}-{number}", zone, slots, connections,
-                                extra + ["--follow", primary, "--seed", str(seed + number)])
+                                extra_options + ["--follow", primary, "--seed", str(seed + number)])
         names = [f"{database}-{number}" for number in range(1, len(zones) + 1)]
         return {"name": database, "durability": "majority", "upstreams": [self.upstreams[name] for name in names]}
 
@@ -200,37 +205,38 @@
         return self.hosts[name]
 
     def announce_hosts(self):
-        listed = [{"name": host.name, "zone": host.zone, "address": host.peer, "state": "live"} for host in self.hosts.values()]
-        status, text = http("PUT", self.platform, "/admin/hosts", listed)
+        listed = [{"name": host.name, "zone": host.zone, "address": host.peer_address, "state": "live"}
+                  for host in self.hosts.values()]
+        status, text = http("PUT", self.platform_address, "/admin/hosts", listed)
         if status not in (200, 204):
-            raise RuntimeError(f"the platform refused the host list: {text}")
+            raise RuntimeError(f"the platform stand-in rejected the host list: {text}")
 
-    def faults(self, **settings):
-        http("PUT", self.platform, "/admin/faults", settings)
+    def set_platform_faults(self, **settings):
+        http("PUT", self.platform_address, "/admin/faults", settings)
 
     def ctl(self, *arguments):
         host = next(host for host in self.hosts.values() if host.process.alive())
-        address = [] if "--operator" in arguments else ["--operator", host.operators]
-        return subprocess.run([self.program("egrettidectl"), "--platform", self.platform, *address, *arguments],
+        address = [] if "--operator" in arguments else ["--operator", host.operator_address]
+        return subprocess.run([self.program_path("egrettidectl"), "--platform", self.platform_address, *address, *arguments],
                               capture_output=True, text=True, timeout=90)
 
     def apply(self, configuration):
         path = os.path.join(self.folder, "configuration.json")
         with open(path, "w") as file:
             json.dump(configuration, file, indent=2)
-        done = self.ctl("apply", path)
-        if done.returncode != 0:
-            raise RuntimeError(f"apply failed ({done.returncode}): {done.stdout}{done.stderr}")
+        completed = self.ctl("apply", path)
+        if completed.returncode != 0:
+            raise RuntimeError(f"egrettidectl apply failed with status {completed.returncode}: {completed.stdout}{completed.stderr}")
         wait_for("all hosts ready", lambda: all(host.ready() for host in self.hosts.values()))
-        return done.stdout
+        return completed.stdout
 
     def primary_of(self, database):
-        """The confirmed primary by the highest term that any host reports."""
+        """Returns the confirmed primary with the highest term that any host reports, or an empty string."""
         best = (0, "")
         for host in self.hosts.values():
             if not host.process.alive():
                 continue
-            status, text = http("GET", host.operators, "/status")
+            status, text = http("GET", host.operator_address, "/status")
             if status != 200:
                 continue
             for group in json.loads(text)["groups"]:
@@ -239,11 +245,11 @@
         return best[1]
 
     def targets(self):
-        return ",".join(host.caller for host in self.hosts.values())
+        return ",".join(host.caller_address for host in self.hosts.values())
 
-    def reads(self):
-        """Reads by who served them, summed over hosts: {(served_by, reason): count}."""
-        total = {}
+    def read_counts(self):
+        """Returns the reads summed over all hosts: {(served_by, reason): count}."""
+        counts = {}
         for host in self.hosts.values():
             for line in host.metrics().splitlines():
                 found = re.match(r'egrettide_reads_total\{(.*)\} (\d+)', line)
@@ -251,58 +257,60 @@
                     continue
                 labels = dict(re.findall(r'(\w+)="([^"]*)"', found.group(1)))
                 key = (labels["served_by"], labels.get("reason", ""))
-                total[key] = total.get(key, 0) + int(found.group(2))
-        return total
+                counts[key] = counts.get(key, 0) + int(found.group(2))
+        return counts
 
-    def start_hosts(self, zones, each, policy="adaptive"):
-        """`each` hosts in every zone, host-a1 and on, announced to the platform."""
+    def start_hosts(self, zones, hosts_per_zone, policy="adaptive"):
+        """Starts `hosts_per_zone` hosts in every zone, named host-a1 and so on, and sends the host
+        list to the platform stand-in."""
         for zone in zones:
-            for number in range(1, each + 1):
+            for number in range(1, hosts_per_zone + 1):
                 self.start_host(f"host-{zone}{number}", zone, policy)
         self.announce_hosts()
 
-    def store_calls(self):
-        status, text = http("GET", self.platform, "/admin/calls")
+    def store_call_counts(self):
+        status, text = http("GET", self.platform_address, "/admin/calls")
         return json.loads(text) if status == 200 else {}
 
-    def group_views(self, database):
-        """What each answering host reports of the group: {host: entry}."""
-        views = {}
+    def group_status_by_host(self, database):
+        """Returns the group's entry in the status of each host that answers: {host: entry}."""
+        entries_by_host = {}
         for host in self.hosts.values():
-            status, text = http("GET", host.operators, "/status") if host.process.alive() else (0, "")
+            status, text = http("GET", host.operator_address, "/status") if host.process.alive() else (0, "")
             if status == 200:
                 entries = [entry for entry in json.loads(text)["groups"] if entry["database"] == database]
-                views.update({host.name: entry for entry in entries})
-        return views
+                entries_by_host.update({host.name: entry for entry in entries})
+        return entries_by_host
 
-    def sql(self, upstream, statement):
-        """One statement straight to an upstream's stand-in."""
+    def query_upstream(self, upstream, statement):
+        """Runs one statement directly on an upstream's stand-in, without a host in between."""
         return query(self.upstreams[upstream]["address"], statement)
 
-    def fresh_tables(self, database):
-        """Empties what the load tool left, for another run on the same site."""
+    def clear_tables(self, database):
+        """Deletes the rows that the load tool wrote, so that another run can start on the same deployment."""
         host = next(host for host in self.hosts.values() if host.process.alive())
-        address, port = host.caller.rsplit(":", 1)
+        address, port = host.caller_address.rsplit(":", 1)
         for table in ("bookings", "charges", "progress"):
-            subprocess.run([self.program("egrettide-bench"), "--targets", f"{address}:{port}", "--database", database,
+            subprocess.run([self.program_path("egrettide-bench"), "--targets", f"{address}:{port}", "--database", database,
                             "--execute", f"DELETE FROM {table}"], check=True, timeout=60)
 
-    def bench(self, process="load", **options):
-        """Starts the load tool; the callers begin once it says so."""
-        arguments = [self.program("egrettide-bench"), "--targets", self.targets()]
+    def start_load(self, process_name="load", **options):
+        """Starts the load tool and waits until it reports that its callers have started."""
+        arguments = [self.program_path("egrettide-bench"), "--targets", self.targets()]
         for name, value in options.items():
             arguments += ["--" + name.replace("_", "-"), str(value)]
-        load = self.run(process, arguments)
-        wait_for("load started", lambda: load.find(load.out_path, r'"started":true'), 120)
+        load = self.start_process(process_name, arguments)
+        wait_for("load started", lambda: load.search(load.out_path, r'"started":true'), 120)
         return load
 
-    def result(self, load, bound_s):
+    def load_result(self, load, timeout_s):
+        """Waits until the load tool exits and returns its result, the last line of its output."""
         try:
-            load.process.wait(timeout=bound_s)
+            load.child.wait(timeout=timeout_s)
         except subprocess.TimeoutExpired:
-            raise RuntimeError("the load tool did not end in time") from None
+            raise RuntimeError("the load tool did not exit before the timeout") from None
         lines = open(load.out_path).read().strip().splitlines()
-        if load.process.returncode not in (0, 1) or len(lines) < 2:
+        if load.child.returncode not in (0, 1) or len(lines) < 2:
             raise RuntimeError("the load tool failed: " + open(load.err_path).read()[-2000:])
         return json.loads(lines[-1])
 
@@ -317,6 +325,7 @@
 
 
 def replica_share(reads):
+    """Returns the share, 0 to 1, of the reads in read_counts() that replicas served."""
     total = sum(reads.values())
     by_replica = sum(count for (served_by, _), count in reads.items() if served_by == "replica")
     return by_replica / total if total else 0.0
--- a/scripts/platform_demo.py
+++ b/scripts/platform_demo.py
@@ -1,5 +1,6 @@
-"""The story of scripts/demo --platform: three hosts on the platform's stand-ins, callers
-in the line protocol, a primary that goes dark, a host that is stopped."""
+"""Runs the scenario of scripts/demo --platform: three hosts on stand-ins for the users'
+platform, with callers that speak the line protocol; the primary stops answering, then a
+host is stopped."""
 
 import collections
 import signal
@@ -10,23 +11,23 @@
 
 import lab
 
-SECONDS = 12
+LOAD_SECONDS = 12
 CALLERS = 12
-# Codes that promise that nothing of the statement is kept.
-PROMISES = ("BUSY", "ABORTED", "LAGGING", "READONLY", "MOVED", "TOOMANY")
+# Error codes that guarantee that the statement had no effect.
+NO_EFFECT_CODES = ("BUSY", "ABORTED", "LAGGING", "READONLY", "MOVED", "TOOMANY")
 
 
 class Caller:
-    """One session; connects again after a close."""
+    """One session of the line protocol on one connection."""
 
     def __init__(self, address, route):
         ip, port = address.rsplit(":", 1)
         self.socket = socket.create_connection((ip, int(port)), timeout=10)
         self.file = self.socket.makefile("rw", newline="\r\n")
-        self.lines("STARTUP", f"{route} demo")
+        self.request("STARTUP", f"{route} demo")
 
-    def lines(self, word, rest):
-        self.file.write(f"{word} {rest}\n")
+    def request(self, command, arguments):
+        self.file.write(f"{command} {arguments}\n")
         self.file.flush()
         answer = []
         while True:
@@ -37,53 +38,53 @@
                 return answer
             answer.append(line)
 
-    def run(self, ident, text):
-        return self.lines("QUERY", f"{ident} {text}")
+    def run(self, statement_id, text):
+        return self.request("QUERY", f"{statement_id} {text}")
 
 
 class Load:
-    """Callers that write a rising number each and read it back."""
+    """Callers that each write increasing numbers to their own item and read them back."""
 
     def __init__(self, addresses):
-        self.addresses, self.ends = addresses, time.monotonic() + SECONDS
+        self.addresses, self.end = addresses, time.monotonic() + LOAD_SECONDS
         self.lock = threading.Lock()
-        self.counts, self.violations, self.written = collections.Counter(), [], []
-        self.threads = [threading.Thread(target=self.call, args=(number,)) for number in range(CALLERS)]
+        self.counts, self.violations, self.write_times = collections.Counter(), [], []
+        self.threads = [threading.Thread(target=self.run_caller, args=(number,)) for number in range(CALLERS)]
         for thread in self.threads:
             thread.start()
 
-    def call(self, number):
-        value, acknowledged, uncertain, caller, turn = 0, 0, 0, None, number
-        while time.monotonic() < self.ends:
+    def run_caller(self, number):
+        value, acknowledged, uncertain, caller, connection_number = 0, 0, 0, None, number
+        while time.monotonic() < self.end:
             try:
                 if caller is None:
-                    turn += 1
-                    caller = Caller(self.addresses[turn % len(self.addresses)], "read_your_writes")
+                    connection_number += 1
+                    caller = Caller(self.addresses[connection_number % len(self.addresses)], "read_your_writes")
                     acknowledged, uncertain = 0, value
                 value += 1
                 answer = caller.run(f"d{number}w{value}", f"WRITE item{number} {value}")
                 if answer[-1].startswith("COMPLETE"):
                     acknowledged = value
-                    self.note("writes done", time.monotonic())
+                    self.count("writes done", time.monotonic())
                 else:
                     code = answer[-1].split()[1]
-                    self.note("refused" if code in PROMISES else "unknown")
-                    uncertain = value if code not in PROMISES else uncertain
+                    self.count("refused" if code in NO_EFFECT_CODES else "unknown")
+                    uncertain = value if code not in NO_EFFECT_CODES else uncertain
                 answer = caller.run(f"d{number}r{value}", f"READ item{number}")
                 if answer[-1].startswith("COMPLETE"):
-                    self.note("reads done")
+                    self.count("reads done")
                     self.check(number, answer[0].split()[1], acknowledged)
                 time.sleep(0.01)
             except OSError:
-                self.note("reconnects")
+                self.count("reconnects")
                 caller = None
                 time.sleep(0.05)
 
-    def note(self, what, at=None):
+    def count(self, outcome, written_at=None):
         with self.lock:
-            self.counts[what] += 1
-            if at is not None:
-                self.written.append(at)
+            self.counts[outcome] += 1
+            if written_at is not None:
+                self.write_times.append(written_at)
 
     def check(self, number, seen, acknowledged):
         seen = 0 if seen == "-" else int(seen)
@@ -96,38 +97,38 @@
             thread.join()
 
     def longest_without_write(self):
-        written = sorted(self.written)
-        return max((after - before for before, after in zip(written, written[1:])), default=0.0)
+        write_times = sorted(self.write_times)
+        return max((after - before for before, after in zip(write_times, write_times[1:])), default=0.0)
 
 
 def main():
-    with lab.Lab(sys.argv[1]) as site:
+    with lab.Deployment(sys.argv[1]) as site:
         site.start_platform("--service")
-        site.host_settings = {"interface": "platform", "ordersAddress": site.platform, "stopBoundMs": 5000,
+        site.host_settings = {"interface": "platform", "ordersAddress": site.platform_address, "stopBoundMs": 5000,
                               "balancerNoticeMs": 300}
         for zone in "abc":
             site.start_host(f"host-{zone}", zone)
         lab.wait_for("a confirmed primary", lambda: site.primary_of("service"))
         print(f"primary: {site.primary_of('service')}", flush=True)
-        load = Load([host.caller for host in site.hosts.values()])
-        time.sleep(SECONDS * 0.3)
+        load = Load([host.caller_address for host in site.hosts.values()])
+        time.sleep(LOAD_SECONDS * 0.3)
         victim = site.primary_of("service")
-        print(f"the primary {victim} goes dark", flush=True)
-        lab.http("PUT", site.platform, "/admin/members", {"dark": victim})
-        time.sleep(SECONDS * 0.4)
+        print(f"isolating the primary {victim}", flush=True)
+        lab.http("PUT", site.platform_address, "/admin/members", {"dark": victim})
+        time.sleep(LOAD_SECONDS * 0.4)
         print(f"primary now: {site.primary_of('service')}; stopping host-c", flush=True)
         site.processes["host-c"].signal(signal.SIGTERM)
         load.join()
         stopped = site.hosts["host-c"].process
-        lab.wait_for("host-c gone", lambda: not stopped.alive(), 60)
+        lab.wait_for("exit of host-c", lambda: not stopped.alive(), 60)
         print(f"statements: {dict(load.counts)}")
-        print(f"longest time without a write {load.longest_without_write():.3f} s")
-        print(f"stopped host ended with exit status {stopped.process.returncode}")
-        print(f"broken promises: {len(load.violations)}")
+        print(f"longest time without a completed write {load.longest_without_write():.3f} s")
+        print(f"stopped host exited with status {stopped.child.returncode}")
+        print(f"consistency violations: {len(load.violations)}")
         for violation in load.violations[:10]:
             print("  " + violation)
-        served = load.counts["writes done"] > 0 and site.primary_of("service") != victim
-        return 0 if served and not load.violations and stopped.process.returncode == 0 else 1
+        failed_over = load.counts["writes done"] > 0 and site.primary_of("service") != victim
+        return 0 if failed_over and not load.violations and stopped.child.returncode == 0 else 1
 
 
 if __name__ == "__main__":
--- a/tests/process/deployment_test.py
+++ b/tests/process/deployment_test.py
@@ -28,7 +28,7 @@
 
 class Deployment(unittest.TestCase):
     def setUp(self):
-        self.site = lab.Lab(BINARIES)
+        self.site = lab.Deployment(BINARIES)
         self.addCleanup(self.site.__exit__)
         self.site.start_platform()
         self.database = self.site.start_group("booking1", ["a", "b", "c"], 5, 30, ["--lag-ms", "10"])
@@ -48,10 +48,10 @@
         settings = {"database": "booking1", "seconds": SECONDS, "desks": 2, "parents": 4, "desk_rate": 10, "parent_rate": 10,
                     "move_every": 7, "timeout_ms": 8000}
         settings.update(options)
-        return self.site.bench(**settings)
+        return self.site.start_load(**settings)
 
     def check(self, load):
-        result = self.site.result(load, BOUND_S)
+        result = self.site.load_result(load, BOUND_S)
         self.assertEqual(result["violation_count"], 0, f"broken promises, look at the checker's stories: {result['violations']}")
         self.assertGreater(result["writes_done"], 0, f"no write was done at all, look at the refusals: {result['refusals']}")
         self.check_sanitizers()
@@ -102,7 +102,7 @@
         # The store goes down, then the primary crashes. If a promotion needs the store, writes
         # stop until the platform's store is available again.
         load = self.load()
-        self.site.faults(down=True)
+        self.site.set_platform_faults(down=True)
         time.sleep(SECONDS / 3)
         victim = self.site.primary_of("booking1")
         self.site.processes[victim].signal(signal.SIGKILL)
@@ -127,7 +127,7 @@
         drained.signal(signal.SIGTERM)
         lab.wait_for("the drained host's end", lambda: not drained.alive(), BOUND_S)
         result = self.check(load)
-        self.assertEqual(drained.process.returncode, 0, "a drained host ends with status 0; look at its log")
+        self.assertEqual(drained.child.returncode, 0, "a drained host ends with status 0; look at its log")
         unknown = {text: count for text, count in result["refusals"].items() if "unknown" in text}
         self.assertEqual(unknown, {}, "a planned stop leaves no outcome unknown")
 
@@ -154,12 +154,13 @@
         with open(path, "w") as file:
             json.dump({**settings, "logLevel": "debug"}, file)
         host.process.signal(signal.SIGHUP)
-        lab.wait_for("settings reloaded", lambda: host.process.find(host.process.out_path, r'"event":"settings_reloaded","applied":1'))
+        lab.wait_for("settings reloaded", lambda: host.process.search(host.process.out_path,
+                                                                      r'"event":"settings_reloaded","applied":1'))
         with open(path, "w") as file:
             json.dump({**settings, "logLevel": "loud", "trafficThreads": 0}, file)
         host.process.signal(signal.SIGHUP)
         for fault in ("logLevel", "trafficThreads"):
-            lab.wait_for(f"{fault} refused", lambda: host.process.find(host.process.out_path, f'"settings_refused".*{fault}'))
+            lab.wait_for(f"{fault} refused", lambda: host.process.search(host.process.out_path, f'"settings_refused".*{fault}'))
         self.assertTrue(host.ready(), "a host that refused a bad file no longer serves")
 
     def test_StatusSeesEachAcceptedFileOnEveryHost(self):
@@ -175,7 +176,7 @@
             configuration["classes"] = [dict(lab.CLASSES[0], priority=priority), lab.CLASSES[1]]
             self.site.apply(configuration)
             for host in self.site.hosts.values():
-                done = self.site.ctl("--operator", host.operators, "status", "--wait", "30")
+                done = self.site.ctl("--operator", host.operator_address, "status", "--wait", "30")
                 self.assertEqual(done.returncode, 0, f"{host.name} does not see the file everywhere: {done.stdout}{done.stderr}")
 
     def test_AnyHostTakesAPlannedChangeOfPrimary(self):
@@ -188,13 +189,13 @@
             before = lab.wait_for("one primary in all eyes", self.agreed_primary, BOUND_S)
             zone = next(each["zone"] for each in self.database["upstreams"] if each["name"] == before)
             host = next(host for host in self.site.hosts.values() if host.zone != zone)
-            done = self.site.ctl("--operator", host.operators, "switchover", "booking1")
+            done = self.site.ctl("--operator", host.operator_address, "switchover", "booking1")
             self.assertEqual(done.returncode, 0, f"refused at {host.name}: {done.stdout}{done.stderr}")
             self.await_primary(other_than=before)
 
     def hosts_acquainted(self):
         for host in self.site.hosts.values():
-            listed = json.loads(lab.http("GET", host.operators, "/status")[1])["hosts"]
+            listed = json.loads(lab.http("GET", host.operator_address, "/status")[1])["hosts"]
             if [each["state"] for each in listed] != ["live"] * len(self.site.hosts):
                 return False
         return True
@@ -203,7 +204,7 @@
         """Returns the primary that all hosts report as confirmed, at one term and with all members reachable, or None."""
         seen = set()
         for host in self.site.hosts.values():
-            for group in json.loads(lab.http("GET", host.operators, "/status")[1])["groups"]:
+            for group in json.loads(lab.http("GET", host.operator_address, "/status")[1])["groups"]:
                 well = group["confirmed"] and all(member["reachable"] for member in group["members"])
                 seen.add((group["term"], group["primary"]) if well else None)
         return seen.pop()[1] if len(seen) == 1 and None not in seen else None
--- a/tests/process/samples_test.py
+++ b/tests/process/samples_test.py
@@ -20,7 +20,7 @@
 
 class Samples(unittest.TestCase):
     def setUp(self):
-        self.site = lab.Lab(BINARIES)
+        self.site = lab.Deployment(BINARIES)
         self.addCleanup(self.site.__exit__)
         self.site.start_platform()
         database = self.site.start_group("booking1", ["a", "b", "c"], 5, 30, ["--lag-ms", "10"])
@@ -31,11 +31,11 @@
         lab.wait_for("a confirmed primary", lambda: self.site.primary_of("booking1"), BOUND_S)
 
     def conninfo(self, host, tenant="desk"):
-        address, port = self.site.hosts[host].caller.rsplit(":", 1)
+        address, port = self.site.hosts[host].caller_address.rsplit(":", 1)
         return f"host={address} port={port} dbname=booking1 user={tenant}"
 
     def sample(self, name, *arguments):
-        done = subprocess.run([self.site.program("sample_" + name), *arguments], capture_output=True, text=True,
+        done = subprocess.run([self.site.program_path("sample_" + name), *arguments], capture_output=True, text=True,
                               timeout=BOUND_S)
         self.assertEqual(done.returncode, 0, f"sample_{name} failed; look at its words: {done.stdout}{done.stderr}")
         return done.stdout
@@ -75,7 +75,7 @@
         for name in ("lakeshore.json", "legoff.json"):
             done = self.site.ctl("validate", os.path.join(SOURCE, "samples", name))
             self.assertEqual(done.returncode, 0, f"{name} is refused: {done.stdout}{done.stderr}")
-        settings = subprocess.run([self.site.program("egrettided"), "--check", "--settings",
+        settings = subprocess.run([self.site.program_path("egrettided"), "--check", "--settings",
                                    os.path.join(SOURCE, "samples", "settings.json")], capture_output=True, text=True)
         self.assertEqual(settings.returncode, 0, f"settings.json is refused: {settings.stderr}")
 
