--- a/scripts/silent_days.py
+++ b/scripts/silent_days.py
@@ -1,18 +1,20 @@
 #!/usr/bin/env python3
-"""Draws a day for the users' bench on which connections go silent beside configuration changes.
+"""Generates a day file for the users' bench: connections go silent while the configuration changes.
 
   scripts/silent_days.py SEED FILE [--mixed]
 
-Every 6.5 to 8 s the connections of a part of the hosts, or of all, go silent without a reset
-while new ones work, and routes change four times around that moment. With --mixed, one more
-disruption of another kind comes within four seconds of each silence.
+Every 6.5 to 8 s the open connections of some or all hosts stop carrying data without a reset,
+while new connections work, and routes change four times around that moment. With --mixed, one
+more disruption of another kind starts within four seconds after each of these moments.
 """
 import argparse
 import random
 
-SHARES = [0.35, 0.5, 0.6, 0.75, 0.9, 1.0]
-CHANGES = 4
-HEAD = """[[day]]
+# Shares of hosts whose connections go silent at one time.
+HOST_SHARES = [0.35, 0.5, 0.6, 0.75, 0.9, 1.0]
+# Route changes around each time connections go silent.
+ROUTE_CHANGES = 4
+DAY_TEMPLATE = """[[day]]
 name = "silent-%(seed)d"
 seed = %(seed)d
 slot = "trouble"
@@ -34,7 +36,8 @@
 """
 
 
-def other_disruption(at, rng):
+def random_disruption(at, rng):
+    """Returns the line of a random additional disruption, `at` seconds into the day."""
     kind = rng.choice([
         'kind = "node_kill", on = "core", count = 1, for_s = 2.0, how = "reader"',
         'kind = "node_freeze", on = "core", count = 1, for_s = 3.0, how = "reader"',
@@ -54,30 +57,33 @@
     return "  { at = %.2f, %s }," % (at, kind)
 
 
-def draw(seed, mixed):
+def generate_day(seed, mixed):
+    """Returns the text of the day file; the same arguments give the same day."""
     rng = random.Random(seed)
     plan, faults = [], []
     at = rng.uniform(4.5, 6)
     while at < 33:
-        faults.append('  { at = %.2f, kind = "reset_conns", share = %.2f, x = 1.0, how = "silent" },' % (at, rng.choice(SHARES)))
-        change = at - rng.uniform(-0.05, 0.3)
-        for _ in range(CHANGES):
-            plan.append('  { at = %.2f, kind = "config_change", how = "route" },' % change)
-            change += rng.uniform(0.25, 0.7)
+        faults.append('  { at = %.2f, kind = "reset_conns", share = %.2f, x = 1.0, how = "silent" },'
+                      % (at, rng.choice(HOST_SHARES)))
+        change_at = at - rng.uniform(-0.05, 0.3)
+        for _ in range(ROUTE_CHANGES):
+            plan.append('  { at = %.2f, kind = "config_change", how = "route" },' % change_at)
+            change_at += rng.uniform(0.25, 0.7)
         if mixed:
-            faults.append(other_disruption(at + rng.uniform(0.1, 4), rng))
+            faults.append(random_disruption(at + rng.uniform(0.1, 4), rng))
         at += rng.uniform(6.5, 8)
-    return HEAD % {"seed": seed, "plan": "\n".join(plan), "faults": "\n".join(faults)}
+    return DAY_TEMPLATE % {"seed": seed, "plan": "\n".join(plan), "faults": "\n".join(faults)}
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("seed", type=int)
     parser.add_argument("file")
-    parser.add_argument("--mixed", action="store_true", help="with one more disruption beside each silence")
+    parser.add_argument("--mixed", action="store_true",
+                        help="add one more disruption after each time connections go silent")
     args = parser.parse_args()
     with open(args.file, "w", encoding="utf-8") as out:
-        out.write(draw(args.seed, args.mixed))
+        out.write(generate_day(args.seed, args.mixed))
 
 
 if __name__ == "__main__":
--- a/scripts/whatbinds.py
+++ b/scripts/whatbinds.py
@@ -1,13 +1,14 @@
 #!/usr/bin/env python3
-"""What binds, from the log lines of a deployment's hosts.
+"""Summarizes, from the log lines of a deployment's hosts, what limits its performance.
 
-    scripts/whatbinds.py LOG [--from SECONDS] [--to SECONDS] [--ids N]
+    scripts/whatbinds.py LOG [--from SECONDS] [--to SECONDS] [--ids N] [--summary]
 
-LOG holds the hosts' JSON lines, each alone or behind a time and the host's name ("12.34
-front-a-1 {...}"); other lines are passed over. Prints the users' two measures (the share of
-reads by replicas with the reasons for the others, and every time without writes), failed
-requests by what they tried and why, and by second, with ids that `egrettidectl explain`
-explains, and the steps of promotions and planned changes."""
+LOG contains the hosts' JSON lines, each alone or preceded by a time and the host's name ("12.34
+front-a-1 {...}"); other lines are ignored. Prints the users' two main figures (the share
+of reads by replicas with the reasons for reads by the primary, and every interval without writes),
+failed requests grouped by attempts and reason, and per second, with ids for `egrettidectl
+explain`, and the steps of promotions and planned changes. The totals of reads cover the whole
+log, also with --from and --to."""
 
 import argparse
 import collections
@@ -15,14 +16,15 @@
 import re
 
 LINE = re.compile(r"^\s*(?:(-?[\d.]+)\s+(\S+)\s+)?(\{.*\})\s*$")
-STEPS = ("promotion_", "planned_change_", "primary_announced", "upstream_superseded", "registration_refused")
-# Outages that end within this of each other belong to one change of a primary.
-ONE_CHANGE_S = 3.0
+STEP_EVENTS = ("promotion_", "planned_change_", "primary_announced", "upstream_superseded", "registration_refused")
+# Outages of one database that end within this time of each other belong to the same change of primary.
+SAME_CHANGE_S = 3.0
 
 
-def events(lines):
-    """Yields (second, host, event) of each line; seconds count from the first line."""
-    began = None
+def parse_events(lines):
+    """Yields (second, host, event) of each log line. Seconds are those before the line, or are counted
+    from the first line that has none."""
+    first_time_ms = None
     for line in lines:
         match = LINE.match(line)
         if not match:
@@ -36,38 +38,40 @@
         if match[1] is not None:
             second = float(match[1])
         else:
-            began = event["time_ms"] if began is None else began
-            second = (event["time_ms"] - began) / 1000
+            first_time_ms = event["time_ms"] if first_time_ms is None else first_time_ms
+            second = (event["time_ms"] - first_time_ms) / 1000
         yield second, event.get("host", match[2] or ""), event
 
 
-def read(path):
+def read_events(path):
     with open(path, errors="replace") as lines:
-        yield from events(lines)
+        yield from parse_events(lines)
 
 
-def tried(event):
-    """What a request tried, with P for the primary and r for any other upstream."""
-    parts = []
-    for part in event.get("tried", "").split():
-        upstream, _, outcome = part.partition(":")
-        parts.append(("P" if upstream == event.get("primary") else "r") + ":" + outcome)
-    return " ".join(parts) or "-"
+def format_attempts(event):
+    """Returns a request's attempts and their outcomes, with P for the primary and r for any other upstream."""
+    attempts = []
+    for attempt in event.get("tried", "").split():
+        upstream, _, outcome = attempt.partition(":")
+        attempts.append(("P" if upstream == event.get("primary") else "r") + ":" + outcome)
+    return " ".join(attempts) or "-"
 
 
-def plain(reason):
+def normalize_reason(reason):
+    """Replaces quoted names by X and numbers by N, so that failures of one kind are counted together."""
     return re.sub(r"\d+", "N", re.sub(r"'[^']*'", "X", reason))[:70]
 
 
-class Served:
-    """Totals of the `served` lines: counts rise from a process's start to its end."""
+class ServedTotals:
+    """Totals of the `served` events. A process reports its counts since its own start, so the counts of
+    processes that have ended are added to those of running ones."""
 
     def __init__(self):
-        self.done = collections.Counter()
-        self.last = {}
+        self.ended = collections.Counter()
+        self.running = {}
 
     @staticmethod
-    def counts(event):
+    def parse_counts(event):
         counts = collections.Counter()
         for name in ("reads_by_replica", "reads_by_primary", "writes"):
             counts[name] = event[name]
@@ -76,35 +80,35 @@
             counts["primary: " + reason] = int(count)
         return counts
 
-    def take(self, host, event):
+    def add(self, host, event):
         if event["event"] == "started":
-            self.done.update(self.last.pop(host, {}))
+            self.ended.update(self.running.pop(host, {}))
         elif event["event"] == "served":
-            self.last[host] = self.counts(event)
+            self.running[host] = self.parse_counts(event)
 
     def total(self):
-        total = collections.Counter(self.done)
-        for counts in self.last.values():
+        total = collections.Counter(self.ended)
+        for counts in self.running.values():
             total.update(counts)
         return total
 
 
-def print_measures(total, outages):
+def print_summary(total, outages):
     reads = total["reads_by_replica"] + total["reads_by_primary"]
     share = total["reads_by_replica"] / reads if reads else 0
     reasons = {name[9:]: count for name, count in total.items() if name.startswith("primary: ")}
-    told = ", ".join(f"{name} {count}" for name, count in sorted(reasons.items(), key=lambda item: -item[1]))
-    print(f"reads by replicas: {share:.3f} of {reads}; by the primary: {told or 'none'}")
+    reasons_text = ", ".join(f"{name} {count}" for name, count in sorted(reasons.items(), key=lambda item: -item[1]))
+    print(f"reads by replicas: {share:.3f} of {reads}; by the primary: {reasons_text or 'none'}")
     changes = []
     for second, database, without in sorted(outages):
         last = changes[-1] if changes else None
-        if last and last[1] == database and second - last[0] < ONE_CHANGE_S:
+        if last and last[1] == database and second - last[0] < SAME_CHANGE_S:
             last[2].append(without)
         else:
             changes.append([second, database, [without]])
-    print(f"times without writes: {len(changes)}")
+    print(f"intervals without writes: {len(changes)}")
     for second, database, lengths in changes:
-        print(f"  {second:8.2f} s {database}: {min(lengths)} to {max(lengths)} ms, as {len(lengths)} hosts saw it")
+        print(f"  {second:8.2f} s {database}: {min(lengths)} to {max(lengths)} ms, reported by {len(lengths)} hosts")
 
 
 def print_failures(failures, by_second, ids):
@@ -114,40 +118,41 @@
         shown = ", ".join(event["id"] for event in events[:ids])
         print(f"  {len(events):5d}  {key[0]:16} {key[1]:18} {key[2]:44} {key[3]}; waited {waited[len(waited) // 2]}"
               f" to {waited[-1]} ms; {shown}")
-    print("by second:")
+    print("failed attempts by second:")
     for second in sorted(by_second):
         counts = ", ".join(f"{name} {count}" for name, count in by_second[second].most_common())
         print(f"  {second:4d}  {counts}")
 
 
 def main():
-    arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    arguments.add_argument("log")
-    arguments.add_argument("--from", dest="begin", type=float, default=float("-inf"))
-    arguments.add_argument("--to", dest="end", type=float, default=float("inf"))
-    arguments.add_argument("--ids", type=int, default=2)
-    arguments.add_argument("--summary", action="store_true", help="the two measures alone")
-    given = arguments.parse_args()
-    served = Served()
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("log")
+    parser.add_argument("--from", dest="begin", type=float, default=float("-inf"))
+    parser.add_argument("--to", dest="end", type=float, default=float("inf"))
+    parser.add_argument("--ids", type=int, default=2)
+    parser.add_argument("--summary", action="store_true",
+                        help="print only the share of reads by replicas and the intervals without writes")
+    options = parser.parse_args()
+    served = ServedTotals()
     outages, steps = [], []
     failures = collections.defaultdict(list)
     by_second = collections.defaultdict(collections.Counter)
-    for second, host, event in read(given.log):
-        served.take(host, event)
-        if not given.begin <= second <= given.end:
+    for second, host, event in read_events(options.log):
+        served.add(host, event)
+        if not options.begin <= second <= options.end:
             continue
         name = event["event"]
         if name == "writes_resumed":
             outages.append((second, event["database"], event["without_ms"]))
         elif name == "request_failed":
-            failures[event["kind"], event["error"], tried(event), plain(event["reason"])].append(event)
+            failures[event["kind"], event["error"], format_attempts(event), normalize_reason(event["reason"])].append(event)
             by_second[int(second)][event["error"]] += 1
-        elif name.startswith(STEPS):
+        elif name.startswith(STEP_EVENTS):
             steps.append((second, host, event))
-    print_measures(served.total(), outages)
-    if given.summary:
+    print_summary(served.total(), outages)
+    if options.summary:
         return
-    print_failures(failures, by_second, given.ids)
+    print_failures(failures, by_second, options.ids)
     print("promotions and planned changes:")
     for second, host, event in steps:
         fields = {key: value for key, value in event.items() if key not in ("time_ms", "level", "host", "event")}
