--- a/src/core/group/promoter.cpp
+++ b/src/core/group/promoter.cpp
@@ -325,9 +325,9 @@
 bool Promoter::majorityAgrees(TimePoint now) const
 {
     const bool ownPrimary = m_homes.contains(m_suspicion.primary);
-    const bool patient = now - m_suspectedSince >= m_options.loneHomeDelay;
-    const std::size_t heard = m_agreeing.size() + (ownPrimary && patient ? m_disagreeing.size() : 0);
-    return heard >= majority();
+    const bool delayElapsed = now - m_suspectedSince >= m_options.loneHomeDelay;
+    const std::size_t countedOpinions = m_agreeing.size() + (ownPrimary && delayElapsed ? m_disagreeing.size() : 0);
+    return countedOpinions >= majority();
 }
 
 bool Promoter::isMember(const std::string &upstream) const
--- a/src/runtime/configuration/configurationkeeper.h
+++ b/src/runtime/configuration/configurationkeeper.h
@@ -54,8 +54,9 @@
     ConfigurationKeeperHooks m_hooks;
     Timer m_timer;
     ConfigurationState m_state;
-    // When this host puts the configuration that it holds in force even though no peer has
-    // reported the newest version: it may be the only host, or cut off from all others.
+    // From this time on, this host puts the configuration that it holds in force even if no peer
+    // has reported a version, since it may be the only host or cut off from all others. It does so
+    // too if peers have reported a newer version that has not arrived.
     TimePoint m_trustedFrom = TimePoint::max();
     bool m_peerReported = false;
     // False until this host has put a configuration in force.
@@ -65,7 +66,8 @@
     std::uint64_t m_seenInStore = 0;
     // The stored object of the version held, forwarded unchanged.
     std::string m_object;
-    // When the last pull was sent; the next one waits until an answer to it could have arrived.
+    // The earliest time of the next pull: an answer to the last one may still arrive. Reset by a
+    // push, after which the next pull may be sent at once.
     TimePoint m_pullBefore;
     bool m_stopped = false;
 };
