--- a/testing/support/groupworld.h
+++ b/testing/support/groupworld.h
@@ -556,11 +556,11 @@
         for (const FakeMember &member : m_members) {
             names.push_back(member.name);
         }
-        const std::string life = std::to_string(index) + "." + std::to_string(home.incarnation);
+        const std::string incarnation = std::to_string(index) + "." + std::to_string(home.incarnation);
         home.monitor = std::make_unique<GroupMonitor>("db", specs(), m_options.monitor);
         home.gate = std::make_unique<CommitGate>(std::move(names), m_options.durability, m_options.gate);
-        home.promoter = std::make_unique<Promoter>(PromoterIdentity{"db", m_members[index].name, life}, specs(), m_random(),
-                                                   m_options.promoter);
+        home.promoter = std::make_unique<Promoter>(PromoterIdentity{"db", m_members[index].name, incarnation}, specs(),
+                                                   m_random(), m_options.promoter);
         SwitchoverOptions switchover;
         switchover.drainTimeout = milliseconds(400);
         switchover.catchUpTimeout = milliseconds(200);
--- a/tests/process/deployment_test.py
+++ b/tests/process/deployment_test.py
@@ -52,7 +52,7 @@
 
     def check(self, load):
         result = self.site.load_result(load, BOUND_S)
-        self.assertEqual(result["violation_count"], 0, f"broken promises, look at the checker's stories: {result['violations']}")
+        self.assertEqual(result["violation_count"], 0, f"consistency violations found by the checker: {result['violations']}")
         self.assertGreater(result["writes_done"], 0, f"no write was done at all, look at the refusals: {result['refusals']}")
         self.check_sanitizers()
         return result
--- a/tests/runtime/upstreamstandin_test.cpp
+++ b/tests/runtime/upstreamstandin_test.cpp
@@ -192,15 +192,15 @@
 BOOST_AUTO_TEST_CASE(BookingsOfATransactionAppearTogetherAtItsCommit)
 {
     const Connection family = connected(primary);
-    const Connection desk = connected(primary);
+    const Connection reader = connected(primary);
     mustRun(family, "BEGIN");
     mustRun(family, "INSERT INTO booking VALUES (1, 'Roy', 0), (2, 'Roy', 0)");
     mustRun(family, "UPDATE booking SET paid = paid + 40 WHERE slot = 1");
     BOOST_TEST(rowsOf(family, "SELECT * FROM booking ORDER BY slot DESC") == "2|Roy|0,1|Roy|40");
-    BOOST_TEST(rowsOf(desk, "SELECT count(*) FROM booking") == "0");
+    BOOST_TEST(rowsOf(reader, "SELECT count(*) FROM booking") == "0");
     const LogMark before = primary.status().received;
     mustRun(family, "COMMIT");
-    BOOST_TEST(rowsOf(desk, "SELECT slot, paid FROM booking ORDER BY slot") == "1|40,2|0");
+    BOOST_TEST(rowsOf(reader, "SELECT slot, paid FROM booking ORDER BY slot") == "1|40,2|0");
     BOOST_TEST(primary.status().received.position == before.position + 1);
 }
 
@@ -269,8 +269,8 @@
 
 BOOST_AUTO_TEST_CASE(ConditionsFollowSql)
 {
-    const Connection desk = connected(primary);
-    mustRun(desk, "INSERT INTO booking VALUES (1, 'Roy', 10), (2, 'Gagnon', NULL), (3, 'Roy', 30), (10, 'Caron', 0)");
+    const Connection client = connected(primary);
+    mustRun(client, "INSERT INTO booking VALUES (1, 'Roy', 10), (2, 'Gagnon', NULL), (3, 'Roy', 30), (10, 'Caron', 0)");
     const std::map<std::string, std::string> expected = {
         {"SELECT slot FROM booking WHERE paid <> 10", "3,10"},
         {"SELECT slot FROM booking WHERE paid IS NULL OR slot = 1", "1,2"},
@@ -288,16 +288,16 @@
     };
     for (const auto &[sql, rows] : expected) {
         if (sql.rfind("DELETE", 0) != 0) {
-            BOOST_TEST(rowsOf(desk, sql) == rows, sql << " answered " << rowsOf(desk, sql) << " instead of " << rows);
+            BOOST_TEST(rowsOf(client, sql) == rows, sql << " answered " << rowsOf(client, sql) << " instead of " << rows);
         }
     }
-    BOOST_TEST(rowsOf(desk, "DELETE FROM booking WHERE family = 'Roy' RETURNING slot") == "1,3");
+    BOOST_TEST(rowsOf(client, "DELETE FROM booking WHERE family = 'Roy' RETURNING slot") == "1,3");
 }
 
 BOOST_AUTO_TEST_CASE(ColumnsCarryTheirTypes)
 {
-    const Connection desk = connected(primary);
-    const Result result = run(desk, "SELECT * FROM booking");
+    const Connection client = connected(primary);
+    const Result result = run(client, "SELECT * FROM booking");
     BOOST_TEST(PQftype(result.get(), 0) == 20U);
     BOOST_TEST(PQftype(result.get(), 1) == 25U);
     BOOST_TEST(PQftype(result.get(), 2) == 23U);
@@ -322,10 +322,10 @@
 
 BOOST_AUTO_TEST_CASE(DescribeNamesParametersAndColumns)
 {
-    const Connection desk = connected(primary);
+    const Connection client = connected(primary);
     const char *sql = "SELECT family, paid FROM booking WHERE slot = $1 AND family > $2 AND paid = $3";
-    BOOST_REQUIRE(Result(PQprepare(desk.get(), "find", sql, 0, nullptr), &PQclear));
-    const Result described(PQdescribePrepared(desk.get(), "find"), &PQclear);
+    BOOST_REQUIRE(Result(PQprepare(client.get(), "find", sql, 0, nullptr), &PQclear));
+    const Result described(PQdescribePrepared(client.get(), "find"), &PQclear);
     BOOST_TEST(PQnparams(described.get()) == 3);
     BOOST_TEST(PQparamtype(described.get(), 0) == 20U);
     BOOST_TEST(PQparamtype(described.get(), 1) == 25U);
@@ -336,14 +336,15 @@
 
 BOOST_AUTO_TEST_CASE(BinaryIntegersGoBothWays)
 {
-    const Connection desk = connected(primary);
-    mustRun(desk, "INSERT INTO booking VALUES (258, 'Roy', 5)");
+    const Connection client = connected(primary);
+    mustRun(client, "INSERT INTO booking VALUES (258, 'Roy', 5)");
     const std::string slot("\0\0\0\0\0\0\1\2", 8);
     const char *values[] = {slot.data()};
     const int lengths[] = {8};
     const int formats[] = {1};
     const Result result(
-        PQexecParams(desk.get(), "SELECT slot FROM booking WHERE slot = $1", 1, nullptr, values, lengths, formats, 1), &PQclear);
+        PQexecParams(client.get(), "SELECT slot FROM booking WHERE slot = $1", 1, nullptr, values, lengths, formats, 1),
+        &PQclear);
     BOOST_REQUIRE_EQUAL(PQntuples(result.get()), 1);
     BOOST_TEST(std::string(PQgetvalue(result.get(), 0, 0), 8) == slot);
 }
