--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -110,7 +110,7 @@
     def __init__(self, binaries, size, scenario, policy, seed):
         self.size, self.scenario, self.policy, self.seed = size, scenario, policy, seed
         self.extra_figures = {}
-        self.site = lab.Deployment(binaries)
+        self.site = lab.Lab(binaries)
 
     def start(self):
         site, size = self.site, self.size
@@ -154,7 +154,7 @@
     def start_loads(self):
         loads = {}
         for number in range(1, self.scenario.loaded_databases + 1):
-            loads[f"booking{number}"] = self.site.start_load(process_name=f"load-{number}", database=f"booking{number}",
+            loads[f"booking{number}"] = self.site.bench(process=f"load-{number}", database=f"booking{number}",
                                                         seed=self.seed, **self.scenario.load)
         return loads
 
@@ -179,7 +179,7 @@
             end = begin + self.scenario.load["seconds"]
             time.sleep(max(0.0, end - time.monotonic()))
             after = Counters(self.site)
-            results = {name: self.site.load_result(load, RESULT_BOUND_S) for name, load in loads.items()}
+            results = {name: self.site.result(load, RESULT_BOUND_S) for name, load in loads.items()}
             record = self.record_header() | load_figures(results) | self.cost_figures(before, after)
             record["promotions"] = self.term() - term_before
             record["primary"] = [primary_before, self.primary()]
@@ -291,7 +291,7 @@
     begin = time.monotonic()
     home.process.signal(signal.SIGTERM)
     lab.wait_for(f"{home.name} gone", lambda: not home.process.alive(), 60)
-    run.extra_figures |= {"victim": home.name, "drain_s": time.monotonic() - begin, "exit_status": home.process.child.returncode}
+    run.extra_figures |= {"victim": home.name, "drain_s": time.monotonic() - begin, "exit_status": home.process.process.returncode}
 
 
 def switch_over(run):
@@ -328,7 +328,7 @@
 
 
 def process_cpu_s(process):
-    with open(f"/proc/{process.child.pid}/stat") as file:
+    with open(f"/proc/{process.process.pid}/stat") as file:
         fields = file.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
@@ -337,21 +337,21 @@
     process = run.site.start_process("probe", [run.site.program_path("egrettide-bench"), "--targets", targets,
                                                "--database", DATABASE, "--probes", str(probes),
                                                "--probe-callers", str(callers)])
-    process.child.wait(timeout=RESULT_BOUND_S)
+    process.process.wait(timeout=RESULT_BOUND_S)
     with open(process.out_path) as file:
         return json.loads(file.read())
 
 
 def path_overhead(run):
     """Compares the same read sent directly to a replica and through one host."""
-    run.site.load_result(run.site.start_load(database=DATABASE, seconds=1, desks=1, parents=1), RESULT_BOUND_S)
+    run.site.result(run.site.bench(database=DATABASE, seconds=1, desks=1, parents=1), RESULT_BOUND_S)
     upstream = run.site.upstreams[f"{DATABASE}-2"]
     host = run.home_of(upstream["name"])
     figures = {}
     for callers in (1, 16):
         direct = probe(run, upstream["address"], callers, 2000)
         cpu = process_cpu_s(host.process)
-        through = probe(run, host.caller_address, callers, 2000)
+        through = probe(run, host.caller, callers, 2000)
         cpu = process_cpu_s(host.process) - cpu
         figures[f"{callers}_callers"] = {"direct": direct, "through": through, "p50_ratio": through["p50_ms"] / direct["p50_ms"],
                                          "statements_per_host_core_second": through["count"] / cpu if cpu else 0}
@@ -366,9 +366,9 @@
     for factor in (1, 3):
         callers = 60 * factor
         before = Counters(run.site)
-        load = run.site.start_load(process_name=f"load-{factor}", database=DATABASE, seconds=6, desks=0, parents=callers,
+        load = run.site.bench(process=f"load-{factor}", database=DATABASE, seconds=6, desks=0, parents=callers,
                               parent_rate=capacity / 60, read_share=0, transaction_share=0, timeout_ms=250, seed=run.seed)
-        result = run.site.load_result(load, RESULT_BOUND_S)
+        result = run.site.result(load, RESULT_BOUND_S)
         after = Counters(run.site)
         summary_figures = load_figures({DATABASE: result})
         # The last interval counts writes of callers that were behind schedule and finished after the end.
@@ -378,7 +378,7 @@
         figures[f"{factor}x"] |= {key: summary_figures[key]
                                  for key in ("skipped_arrivals", "refusals", "refusal_delay", "wait_told", "latency")}
         violations += result["violations"]
-        run.site.clear_tables(DATABASE)
+        run.site.fresh_tables(DATABASE)
     figures["goodput_3x_of_1x"] = figures["3x"]["goodput_per_s"] / figures["1x"]["goodput_per_s"]
     figures["goodput_3x_of_nominal"] = figures["3x"]["goodput_per_s"] / capacity
     return {"overload": figures, "violations": violations, "violation_count": len(violations),
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -67,7 +67,7 @@
 
 def start_one_host(binaries, databases, **host_settings):
     """Starts a deployment of one host and the given number of databases; returns it and the databases' entries."""
-    site = lab.Deployment(binaries)
+    site = lab.Lab(binaries)
     site.host_settings = host_settings
     site.start_platform()
     groups = [site.start_group(f"booking{n}", ["a", "b", "c"], 5, 30, []) for n in range(1, databases + 1)]
@@ -82,11 +82,11 @@
     site, _ = start_one_host(binaries, 1)
     with site:
         host = site.hosts["host-a"]
-        pid = host.process.child.pid
+        pid = host.process.process.pid
         callers = []
         for count in (0, 500, 1000, 2000, 4000):
             while len(callers) < count:
-                callers.append(open_session(host.caller_address))
+                callers.append(open_session(host.caller))
             time.sleep(SETTLE_S)
             before = cpu_seconds(pid)
             time.sleep(MEASUREMENT_S)
@@ -103,7 +103,7 @@
         site, _ = start_one_host(binaries, count, **host_settings)
         with site:
             host = site.hosts["host-a"]
-            pid = host.process.child.pid
+            pid = host.process.process.pid
             time.sleep(SETTLE_S)
             before, begin = control_cpu_seconds(host), time.monotonic()
             time.sleep(MEASUREMENT_S)
@@ -120,16 +120,16 @@
     points_cpu = []
     site, _ = start_one_host(binaries, 1)
     with site:
-        pid = site.hosts["host-a"].process.child.pid
+        pid = site.hosts["host-a"].process.process.pid
         for number, rate in enumerate((100, 200, 400, 800)):
             database = site.upstreams["booking1-1"]["name"].rsplit("-", 1)[0]
             before = cpu_seconds(pid)
             callers = 20
-            load = site.start_load(database=database, seconds=MEASUREMENT_S, desks=0, parents=callers,
-                                   parent_rate=rate / callers, seed=number + 1)
-            result = site.load_result(load, 120)
+            load = site.bench(database=database, seconds=MEASUREMENT_S, desks=0, parents=callers,
+                              parent_rate=rate / callers, seed=number + 1)
+            result = site.result(load, 120)
             points_cpu.append((result["attempts"] / MEASUREMENT_S, (cpu_seconds(pid) - before) / MEASUREMENT_S))
-            site.clear_tables(database)
+            site.fresh_tables(database)
     return {"cpu_cores_by_statements_per_second": fit(points_cpu)}
 
 
@@ -156,7 +156,7 @@
     """Measures the cost of membership per host, as the mean over all hosts, for several numbers of hosts."""
     points_bytes, points_cpu, points_rss = [], [], []
     for count in (2, 4, 8, 16, 32):
-        with lab.Deployment(binaries) as site:
+        with lab.Lab(binaries) as site:
             site.start_platform()
             group = site.start_group("booking1", ["a", "b", "c"], 5, 30, [])
             for number in range(count):
@@ -172,7 +172,7 @@
             per_second_and_host = 1 / (time.monotonic() - begin) / count
             points_bytes.append((count, sum(a[0] - b[0] for a, b in zip(after, before)) * per_second_and_host))
             points_cpu.append((count, sum(a[1] - b[1] for a, b in zip(after, before)) * per_second_and_host))
-            points_rss.append((count, sum(rss_kib(host.process.child.pid) for host in all_hosts) / count))
+            points_rss.append((count, sum(rss_kib(host.process.process.pid) for host in all_hosts) / count))
     return {"control_bytes_per_second": fit(points_bytes), "control_cpu_cores": fit(points_cpu), "rss_kib": fit(points_rss)}
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -15,7 +15,7 @@
 
 
 def main():
-    with lab.Deployment(sys.argv[1]) as site:
+    with lab.Lab(sys.argv[1]) as site:
         site.start_platform()
         database = site.start_group("booking1", ["a", "b", "c"], 5, 30, ["--connection-delay-ms", "10", "--lag-ms", "20"])
         for zone in "abc":
@@ -25,8 +25,8 @@
         lab.wait_for("a confirmed primary", lambda: site.primary_of("booking1"))
         print_line(f"primary: {site.primary_of('booking1')}")
 
-        load = site.start_load(database="booking1", seconds=LOAD_SECONDS, desks=4, parents=8, desk_rate=20,
-                               parent_rate=20, move_every=5)
+        load = site.bench(database="booking1", seconds=LOAD_SECONDS, desks=4, parents=8, desk_rate=20,
+                          parent_rate=20, move_every=5)
         time.sleep(LOAD_SECONDS * 0.25)
         victim = site.primary_of("booking1")
         print_line(f"killing the primary {victim}")
@@ -36,7 +36,7 @@
         print_line("draining host-c")
         reads = site.read_counts()
         site.processes["host-c"].signal(signal.SIGTERM)
-        result = site.load_result(load, LOAD_SECONDS + 60)
+        result = site.result(load, LOAD_SECONDS + 60)
 
         drained = site.hosts["host-c"].process
         lab.wait_for("exit of host-c", lambda: not drained.alive(), 60)
@@ -48,11 +48,11 @@
                    f"{dict(sorted((' '.join(k).strip(), v) for k, v in reads.items()))}")
         print_line(f"failover gap: longest time without a completed write {result['longest_s_without_write']:.3f} s")
         print_line(f"refusals: {result['refusals']}")
-        print_line(f"drained host exited with status {drained.child.returncode}")
+        print_line(f"drained host exited with status {drained.process.returncode}")
         print_line(f"invariant violations: {result['violation_count']}")
         for violation in result["violations"]:
             print_line("  " + violation)
-        return 0 if result["violation_count"] == 0 and drained.child.returncode == 0 else 1
+        return 0 if result["violation_count"] == 0 and drained.process.returncode == 0 else 1
 
 
 if __name__ == "__main__":
--- a/scripts/lab.py
+++ b/scripts/lab.py
@@ -1,7 +1,8 @@
 """Starts the stand-ins and entry hosts of a small deployment on loopback, injects
 faults into them, and stops all processes at the end. Used by scripts/demo,
 scripts/bench, scripts/capacity.py and the process tests; no program of the product
-starts another one."""
+starts another one. Tools outside of the repository use the names of this module, so they
+must not be renamed."""
 
 import json
 import os
@@ -101,14 +102,14 @@
         self.out_path = os.path.join(deployment.folder, name + ".out")
         self.err_path = os.path.join(deployment.folder, name + ".err")
         with open(self.out_path, "w") as out, open(self.err_path, "w") as err:
-            self.child = subprocess.Popen(arguments, stdout=out, stderr=err, stdin=subprocess.DEVNULL)
+            self.process = subprocess.Popen(arguments, stdout=out, stderr=err, stdin=subprocess.DEVNULL)
 
     def alive(self):
-        return self.child.poll() is None
+        return self.process.poll() is None
 
     def signal(self, number):
         if self.alive():
-            self.child.send_signal(number)
+            self.process.send_signal(number)
 
     def search(self, path, pattern):
         with open(path) as file:
@@ -128,7 +129,7 @@
     def __init__(self, deployment, name, zone, policy):
         self.deployment, self.name, self.zone = deployment, name, zone
         settings = {"host": name, "zone": zone, "callerAddress": "127.0.0.1:0", "peerAddress": "127.0.0.1:0",
-                    "operatorAddress": "127.0.0.1:0", "platformAddress": deployment.platform_address, "logLevel": "info",
+                    "operatorAddress": "127.0.0.1:0", "platformAddress": deployment.platform, "logLevel": "info",
                     "sessionKey": "a key for tests only", "routingPolicy": policy, **deployment.host_settings}
         path = os.path.join(deployment.folder, name + ".json")
         with open(path, "w") as file:
@@ -137,7 +138,7 @@
         found = wait_for(f"{name} started", lambda: self.process.search(
             self.process.out_path,
             r'"event":"started".*?"caller_address":"([^"]+)","peer_address":"([^"]+)","operator_address":"([^"]+)"'))
-        self.caller_address, self.peer_address, self.operator_address = found.groups()
+        self.caller, self.peer_address, self.operator_address = found.groups()
 
     def ready(self):
         return http("GET", self.operator_address, "/ready")[0] == 200
@@ -147,7 +148,7 @@
         return text if status == 200 else ""
 
 
-class Deployment:
+class Lab:
     """The processes of one deployment. As a context manager it kills them all and deletes their files at the end."""
 
     def __init__(self, binaries):
@@ -157,7 +158,7 @@
         self.processes, self.hosts, self.upstreams = {}, {}, {}
         # Additional settings of hosts that are started later.
         self.host_settings = {}
-        self.platform_address = None
+        self.platform = None
 
     def __enter__(self):
         return self
@@ -167,7 +168,7 @@
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
         for process in self.processes.values():
-            process.child.wait()
+            process.process.wait()
         self.directory.cleanup()
 
     def program_path(self, name):
@@ -178,7 +179,7 @@
         return self.processes[name]
 
     def start_platform(self, *options):
-        self.platform_address = self.start_process(
+        self.platform = self.start_process(
             "platform", [self.program_path("platform"), "--listen", "127.0.0.1:0", *options]).listening_address()
 
     def start_upstream(self, name, zone, slots, connections, extra_options):
@@ -207,17 +208,17 @@
     def announce_hosts(self):
         listed = [{"name": host.name, "zone": host.zone, "address": host.peer_address, "state": "live"}
                   for host in self.hosts.values()]
-        status, text = http("PUT", self.platform_address, "/admin/hosts", listed)
+        status, text = http("PUT", self.platform, "/admin/hosts", listed)
         if status not in (200, 204):
             raise RuntimeError(f"the platform stand-in rejected the host list: {text}")
 
     def set_platform_faults(self, **settings):
-        http("PUT", self.platform_address, "/admin/faults", settings)
+        http("PUT", self.platform, "/admin/faults", settings)
 
     def ctl(self, *arguments):
         host = next(host for host in self.hosts.values() if host.process.alive())
         address = [] if "--operator" in arguments else ["--operator", host.operator_address]
-        return subprocess.run([self.program_path("egrettidectl"), "--platform", self.platform_address, *address, *arguments],
+        return subprocess.run([self.program_path("egrettidectl"), "--platform", self.platform, *address, *arguments],
                               capture_output=True, text=True, timeout=90)
 
     def apply(self, configuration):
@@ -245,7 +246,7 @@
         return best[1]
 
     def targets(self):
-        return ",".join(host.caller_address for host in self.hosts.values())
+        return ",".join(host.caller for host in self.hosts.values())
 
     def read_counts(self):
         """Returns the reads summed over all hosts: {(served_by, reason): count}."""
@@ -269,7 +270,7 @@
         self.announce_hosts()
 
     def store_call_counts(self):
-        status, text = http("GET", self.platform_address, "/admin/calls")
+        status, text = http("GET", self.platform, "/admin/calls")
         return json.loads(text) if status == 200 else {}
 
     def group_status_by_host(self, database):
@@ -286,31 +287,31 @@
         """Runs one statement directly on an upstream's stand-in, without a host in between."""
         return query(self.upstreams[upstream]["address"], statement)
 
-    def clear_tables(self, database):
+    def fresh_tables(self, database):
         """Deletes the rows that the load tool wrote, so that another run can start on the same deployment."""
         host = next(host for host in self.hosts.values() if host.process.alive())
-        address, port = host.caller_address.rsplit(":", 1)
+        address, port = host.caller.rsplit(":", 1)
         for table in ("bookings", "charges", "progress"):
             subprocess.run([self.program_path("egrettide-bench"), "--targets", f"{address}:{port}", "--database", database,
                             "--execute", f"DELETE FROM {table}"], check=True, timeout=60)
 
-    def start_load(self, process_name="load", **options):
+    def bench(self, process="load", **options):
         """Starts the load tool and waits until it reports that its callers have started."""
         arguments = [self.program_path("egrettide-bench"), "--targets", self.targets()]
         for name, value in options.items():
             arguments += ["--" + name.replace("_", "-"), str(value)]
-        load = self.start_process(process_name, arguments)
+        load = self.start_process(process, arguments)
         wait_for("load started", lambda: load.search(load.out_path, r'"started":true'), 120)
         return load
 
-    def load_result(self, load, timeout_s):
+    def result(self, load, timeout_s):
         """Waits until the load tool exits and returns its result, the last line of its output."""
         try:
-            load.child.wait(timeout=timeout_s)
+            load.process.wait(timeout=timeout_s)
         except subprocess.TimeoutExpired:
             raise RuntimeError("the load tool did not exit before the timeout") from None
         lines = open(load.out_path).read().strip().splitlines()
-        if load.child.returncode not in (0, 1) or len(lines) < 2:
+        if load.process.returncode not in (0, 1) or len(lines) < 2:
             raise RuntimeError("the load tool failed: " + open(load.err_path).read()[-2000:])
         return json.loads(lines[-1])
 
--- a/scripts/platform_demo.py
+++ b/scripts/platform_demo.py
@@ -11,7 +11,7 @@
 
 import lab
 
-LOAD_SECONDS = 12
+SECONDS = 12
 CALLERS = 12
 # Error codes that guarantee that the statement had no effect.
 NO_EFFECT_CODES = ("BUSY", "ABORTED", "LAGGING", "READONLY", "MOVED", "TOOMANY")
@@ -46,7 +46,7 @@
     """Callers that each write increasing numbers to their own item and read them back."""
 
     def __init__(self, addresses):
-        self.addresses, self.end = addresses, time.monotonic() + LOAD_SECONDS
+        self.addresses, self.end = addresses, time.monotonic() + SECONDS
         self.lock = threading.Lock()
         self.counts, self.violations, self.write_times = collections.Counter(), [], []
         self.threads = [threading.Thread(target=self.run_caller, args=(number,)) for number in range(CALLERS)]
@@ -102,20 +102,20 @@
 
 
 def main():
-    with lab.Deployment(sys.argv[1]) as site:
+    with lab.Lab(sys.argv[1]) as site:
         site.start_platform("--service")
-        site.host_settings = {"interface": "platform", "ordersAddress": site.platform_address, "stopBoundMs": 5000,
+        site.host_settings = {"interface": "platform", "ordersAddress": site.platform, "stopBoundMs": 5000,
                               "balancerNoticeMs": 300}
         for zone in "abc":
             site.start_host(f"host-{zone}", zone)
         lab.wait_for("a confirmed primary", lambda: site.primary_of("service"))
         print(f"primary: {site.primary_of('service')}", flush=True)
-        load = Load([host.caller_address for host in site.hosts.values()])
-        time.sleep(LOAD_SECONDS * 0.3)
+        load = Load([host.caller for host in site.hosts.values()])
+        time.sleep(SECONDS * 0.3)
         victim = site.primary_of("service")
         print(f"isolating the primary {victim}", flush=True)
-        lab.http("PUT", site.platform_address, "/admin/members", {"dark": victim})
-        time.sleep(LOAD_SECONDS * 0.4)
+        lab.http("PUT", site.platform, "/admin/members", {"dark": victim})
+        time.sleep(SECONDS * 0.4)
         print(f"primary now: {site.primary_of('service')}; stopping host-c", flush=True)
         site.processes["host-c"].signal(signal.SIGTERM)
         load.join()
@@ -123,12 +123,12 @@
         lab.wait_for("exit of host-c", lambda: not stopped.alive(), 60)
         print(f"statements: {dict(load.counts)}")
         print(f"longest time without a completed write {load.longest_without_write():.3f} s")
-        print(f"stopped host exited with status {stopped.child.returncode}")
+        print(f"stopped host exited with status {stopped.process.returncode}")
         print(f"consistency violations: {len(load.violations)}")
         for violation in load.violations[:10]:
             print("  " + violation)
         failed_over = load.counts["writes done"] > 0 and site.primary_of("service") != victim
-        return 0 if failed_over and not load.violations and stopped.child.returncode == 0 else 1
+        return 0 if failed_over and not load.violations and stopped.process.returncode == 0 else 1
 
 
 if __name__ == "__main__":
--- a/tests/process/deployment_test.py
+++ b/tests/process/deployment_test.py
@@ -28,7 +28,7 @@
 
 class Deployment(unittest.TestCase):
     def setUp(self):
-        self.site = lab.Deployment(BINARIES)
+        self.site = lab.Lab(BINARIES)
         self.addCleanup(self.site.__exit__)
         self.site.start_platform()
         self.database = self.site.start_group("booking1", ["a", "b", "c"], 5, 30, ["--lag-ms", "10"])
@@ -48,10 +48,10 @@
         settings = {"database": "booking1", "seconds": SECONDS, "desks": 2, "parents": 4, "desk_rate": 10, "parent_rate": 10,
                     "move_every": 7, "timeout_ms": 8000}
         settings.update(options)
-        return self.site.start_load(**settings)
+        return self.site.bench(**settings)
 
     def check(self, load):
-        result = self.site.load_result(load, BOUND_S)
+        result = self.site.result(load, BOUND_S)
         self.assertEqual(result["violation_count"], 0, f"consistency violations found by the checker: {result['violations']}")
         self.assertGreater(result["writes_done"], 0, f"no write was done at all, look at the refusals: {result['refusals']}")
         self.check_sanitizers()
@@ -127,7 +127,7 @@
         drained.signal(signal.SIGTERM)
         lab.wait_for("the drained host's end", lambda: not drained.alive(), BOUND_S)
         result = self.check(load)
-        self.assertEqual(drained.child.returncode, 0, "a drained host ends with status 0; look at its log")
+        self.assertEqual(drained.process.returncode, 0, "a drained host ends with status 0; look at its log")
         unknown = {text: count for text, count in result["refusals"].items() if "unknown" in text}
         self.assertEqual(unknown, {}, "a planned stop leaves no outcome unknown")
 
--- a/tests/process/samples_test.py
+++ b/tests/process/samples_test.py
@@ -20,7 +20,7 @@
 
 class Samples(unittest.TestCase):
     def setUp(self):
-        self.site = lab.Deployment(BINARIES)
+        self.site = lab.Lab(BINARIES)
         self.addCleanup(self.site.__exit__)
         self.site.start_platform()
         database = self.site.start_group("booking1", ["a", "b", "c"], 5, 30, ["--lag-ms", "10"])
@@ -31,7 +31,7 @@
         lab.wait_for("a confirmed primary", lambda: self.site.primary_of("booking1"), BOUND_S)
 
     def conninfo(self, host, tenant="desk"):
-        address, port = self.site.hosts[host].caller_address.rsplit(":", 1)
+        address, port = self.site.hosts[host].caller.rsplit(":", 1)
         return f"host={address} port={port} dbname=booking1 user={tenant}"
 
     def sample(self, name, *arguments):
