--- a/tests/core/requestpath.h
+++ b/tests/core/requestpath.h
@@ -166,7 +166,7 @@
 
     // The front's state of a caller's request.
     struct Request {
-        StatementRequest about;
+        StatementRequest statement;
         RouteAttempts attempts;
         // The execution whose reply is outstanding, 0 if none.
         std::uint64_t outstanding = 0;
@@ -182,7 +182,7 @@
         std::uint64_t request = 0;
         std::string upstream;
         std::uint64_t process = 0;
-        StatementRequest about;
+        StatementRequest statement;
         AttemptId attempt = 0;
         HopId connection = 0;
         bool linkLost = false;
@@ -222,9 +222,9 @@
         m_events.push(Event{m_now + delay, ++m_order, std::move(action)});
     }
 
-    static bool isRepeatable(const StatementRequest &about)
+    static bool isRepeatable(const StatementRequest &statement)
     {
-        return about.idempotent || about.kind == StatementKind::Read;
+        return statement.idempotent || statement.kind == StatementKind::Read;
     }
 
     // ---- The front, by the rules of RequestRunner
@@ -233,10 +233,10 @@
     {
         const std::uint64_t id = ++m_lastRequest;
         Request request;
-        request.about.database = "booking";
-        request.about.kind = randomBelow(4) == 0 ? StatementKind::Read : StatementKind::Write;
-        request.about.idempotent = request.about.kind == StatementKind::Write && randomBelow(3) == 0;
-        request.about.deadline = m_now + (m_scenario == RequestPathScenario::AllFaults ? timeout : plannedStopTimeout);
+        request.statement.database = "booking";
+        request.statement.kind = randomBelow(4) == 0 ? StatementKind::Read : StatementKind::Write;
+        request.statement.idempotent = request.statement.kind == StatementKind::Write && randomBelow(3) == 0;
+        request.statement.deadline = m_now + (m_scenario == RequestPathScenario::AllFaults ? timeout : plannedStopTimeout);
         m_requests[id] = std::move(request);
         ++m_counts.requests;
         choose(id);
@@ -245,7 +245,7 @@
     void choose(std::uint64_t id)
     {
         Request &request = m_requests.at(id);
-        const auto route = m_router.choose(request.about, request.attempts, m_now, m_random);
+        const auto route = m_router.choose(request.statement, request.attempts, m_now, m_random);
         if (route) {
             send(id, route->upstream);
             return;
@@ -259,13 +259,13 @@
     {
         Request &request = m_requests.at(id);
         if (request.sends++ > 0) {
-            (isRepeatable(request.about) ? m_counts.repeatableRetried : m_counts.chargesRetried) += 1;
+            (isRepeatable(request.statement) ? m_counts.repeatableRetried : m_counts.chargesRetried) += 1;
         }
         const std::uint64_t execution = ++m_lastExecution;
         request.outstanding = execution;
         request.upstream = upstream;
-        m_executions[execution] = Execution{id, upstream, m_homes.at(upstream).process, request.about};
-        at(std::chrono::duration_cast<milliseconds>(request.about.deadline + grace - m_now),
+        m_executions[execution] = Execution{id, upstream, m_homes.at(upstream).process, request.statement};
+        at(std::chrono::duration_cast<milliseconds>(request.statement.deadline + grace - m_now),
            [this, id, execution] { overdue(id, execution); });
         overTheHop(execution);
     }
@@ -292,11 +292,11 @@
             }
         }
         request.outstanding = 0;
-        if (m_faults.frontRetriesEverything && reply.error && request.sends < 4 && m_now < request.about.deadline) {
+        if (m_faults.frontRetriesEverything && reply.error && request.sends < 4 && m_now < request.statement.deadline) {
             send(id, names[randomBelow(names.size())]);
             return;
         }
-        const auto decision = m_router.afterReply(request.about, reply, request.attempts, m_now, m_random);
+        const auto decision = m_router.afterReply(request.statement, reply, request.attempts, m_now, m_random);
         if (const auto *route = std::get_if<Route>(&decision)) {
             send(id, route->upstream);
             return;
@@ -315,8 +315,8 @@
         const Request &request = m_requests.at(id);
         const bool lacksPrimary =
             reply.error && (reply.error->kind == ErrorKind::NoPrimary || reply.error->kind == ErrorKind::Moved);
-        const bool mayWait = lacksPrimary && (!reply.sent || isRepeatable(request.about));
-        if (!mayWait || m_now + primaryRetryDelay >= request.about.deadline) {
+        const bool mayWait = lacksPrimary && (!reply.sent || isRepeatable(request.statement));
+        if (!mayWait || m_now + primaryRetryDelay >= request.statement.deadline) {
             finish(id, reply);
             return;
         }
@@ -341,13 +341,13 @@
             return;
         }
         const bool reportsNotRun = outcomeOf(reply.error->kind) == Outcome::NotRun;
-        if (reportsNotRun && reply.sent && request.about.kind != StatementKind::Read && !m_faults.acceptsLastRefusal) {
+        if (reportsNotRun && reply.sent && request.statement.kind != StatementKind::Read && !m_faults.acceptsLastRefusal) {
             reply.error->kind = ErrorKind::UnknownOutcome;
         }
         const bool notRun = outcomeOf(reply.error->kind) == Outcome::NotRun;
         (notRun ? m_counts.notRun : m_counts.unknown) += 1;
         // Irrelevant for a read, which has no effect.
-        request.reportedNotRun = notRun && request.about.kind != StatementKind::Read;
+        request.reportedNotRun = notRun && request.statement.kind != StatementKind::Read;
         if (request.reportedNotRun && request.runs > 0) {
             fail("request " + std::to_string(id) + " ran and was reported as \"not run\"");
         }
@@ -377,7 +377,7 @@
         at(delay, [this, execution, sent] {
             ++m_counts.lostLinks;
             Execution &lost = m_executions.at(execution);
-            const bool mayHaveCommitted = lost.about.kind == StatementKind::Write;
+            const bool mayHaveCommitted = lost.statement.kind == StatementKind::Write;
             lost.linkLost = true;
             StatementReply reply;
             const bool reportsUnknown = sent && mayHaveCommitted && !m_faults.lossReportedAsNotRun;
@@ -430,14 +430,14 @@
         }
         RequestFacts facts;
         facts.id = execution;
-        facts.kind = one.about.kind;
-        facts.idempotent = one.about.idempotent;
-        facts.deadline = one.about.deadline;
+        facts.kind = one.statement.kind;
+        facts.idempotent = one.statement.idempotent;
+        facts.deadline = one.statement.deadline;
         if (!ledger->open(facts)) {
             fail("an execution arrived twice");
             return;
         }
-        const milliseconds left = std::chrono::duration_cast<milliseconds>(one.about.deadline - m_now);
+        const milliseconds left = std::chrono::duration_cast<milliseconds>(one.statement.deadline - m_now);
         at(std::max(left, milliseconds{0}), [this, execution] { giveUp(execution); });
         at(randomUpTo(20), [this, execution] { admit(execution); });
     }
@@ -449,7 +449,7 @@
             return;
         }
         Execution &one = m_executions.at(execution);
-        if (one.about.kind == StatementKind::Write && one.upstream != m_primary) {
+        if (one.statement.kind == StatementKind::Write && one.upstream != m_primary) {
             applyAction(execution, ledger->refuse(execution, Error{ErrorKind::Moved, "Not the primary.", milliseconds{5}}));
             return;
         }
@@ -480,7 +480,7 @@
     void atUpstream(std::uint64_t execution, AttemptId attempt)
     {
         const Execution &one = m_executions.at(execution);
-        if (one.about.kind == StatementKind::Write && one.upstream != m_primary) {
+        if (one.statement.kind == StatementKind::Write && one.upstream != m_primary) {
             at(messageDelay(), [this, execution, attempt] {
                 if (RequestLedger *ledger = ledgerOf(execution)) {
                     const Error fenced{ErrorKind::Moved, "The upstream takes no writes any more.", milliseconds{5}};
@@ -500,7 +500,7 @@
         Request &request = m_requests.at(one.request);
         ++m_counts.runs;
         m_counts.ranAfterLinkLoss += one.linkLost ? 1 : 0;
-        if (++request.runs > 1 && !isRepeatable(request.about)) {
+        if (++request.runs > 1 && !isRepeatable(request.statement)) {
             fail("charge " + std::to_string(one.request) + " ran twice");
         }
         if (request.reportedNotRun) {
@@ -514,7 +514,7 @@
         if (ledger == nullptr) {
             return;
         }
-        const LedgerAction action = ledger->answered(attempt, m_executions.at(execution).about.kind == StatementKind::Write);
+        const LedgerAction action = ledger->answered(attempt, m_executions.at(execution).statement.kind == StatementKind::Write);
         if (action.kind == LedgerAction::Kind::Hold) {
             const bool proven = !randomFault(10);
             at(messageDelay(), [this, execution, proven] {
@@ -544,7 +544,7 @@
                 continue;
             }
             // Only the front retries requests.
-            const bool reads = m_executions.at(execution).about.kind == StatementKind::Read;
+            const bool reads = m_executions.at(execution).statement.kind == StatementKind::Read;
             const Error error = reads ? Error{ErrorKind::Moved, "The read may be repeated.", milliseconds{5}}
                                       : Error{ErrorKind::UnknownOutcome, "The connection broke.", milliseconds{0}};
             applyAction(execution, ledger->refuse(execution, error));
