--- a/bench/detection_curve.cpp
+++ b/bench/detection_curve.cpp
@@ -260,7 +260,7 @@
         testing::World world(options);
         if (loss != PrimaryLoss::Planned) {
             const std::chrono::microseconds crashAt(1'000'000 + 1009 * run);
-            world.planPrimaryDeath(crashAt, std::chrono::seconds(10), loss == PrimaryLoss::Refused);
+            world.planPrimaryCrash(crashAt, std::chrono::seconds(10), loss == PrimaryLoss::Refused);
         }
         violations += world.run().empty() ? 0 : 1;
         unknownOutcomes += world.unknownOutcomes();
--- a/testing/support/groupworld.h
+++ b/testing/support/groupworld.h
@@ -154,7 +154,7 @@
 
     // Adds a crash of the primary to the schedule; `refuses` says whether its host still
     // refuses connections.
-    void planPrimaryDeath(microseconds when, microseconds length, bool refuses)
+    void planPrimaryCrash(microseconds when, microseconds length, bool refuses)
     {
         at(when, [this, length, refuses] {
             kill(primaryIndex().value_or(0), length);
