--- a/src/runtime/configuration/configurationkeeper.h
+++ b/src/runtime/configuration/configurationkeeper.h
@@ -38,7 +38,8 @@
     void noteKnownVersion(const std::string &host, const CatalogVersion &version) override;
 
     // The configuration in force; null while this host has none, and after a start while it can't
-    // determine whether the one it read is the newest.
+    // determine whether the one it holds is the newest. From m_trustedFrom on, the one it holds is
+    // put in force and returned even so.
     std::shared_ptr<const Configuration> current() const override;
 
 private:
--- a/tests/core/configurationfleet.h
+++ b/tests/core/configurationfleet.h
@@ -3,7 +3,8 @@
 // classes; the store is a fake. ConfigurationKeeper and UpstreamHome do their own I/O, so
 // the rules by which they request, offer, pull, push and refuse are reimplemented here and
 // have to be kept in step with src/runtime/configuration/configurationkeeper.cpp and
-// UpstreamHome::refusalOf. One rule, serveIfUpToDate(), exists only in this simulation.
+// UpstreamHome::refusalOf. serveIfUpToDate() is the rule of ConfigurationKeeper::mayPutInForce(),
+// except that it doesn't require that the host holds a configuration.
 //
 // Checked at every step: no process reverts to a lower version, and a leaving upstream gets
 // no new work after the bound. Checked after the faults: all hosts have the newest version.
@@ -39,8 +40,9 @@
     bool frontsIgnoreLeaving = false;
     // Homes accept new work for a leaving upstream.
     bool homesIgnoreLeaving = false;
-    // A new host serves with the first value that it reads, as ConfigurationKeeper does; see
-    // docs/PROOFS.md.
+    // A new host serves with the first value that it reads. ConfigurationKeeper instead waits until
+    // a peer has reported a version and none newer than its own is known, at most until 2 s after
+    // its start; see docs/PROOFS.md.
     bool servesFirstRead = false;
     // Every host polls the store and accepts whatever version it reads.
     bool naive = false;
